--- a/packages/core/src/tamarack_core/dispatcher.py
+++ b/packages/core/src/tamarack_core/dispatcher.py
@@ -1,4 +1,4 @@
-"""Grants the slots of one shard's endpoints to waiting tickets, for one term."""
+"""Dispatcher of one shard: grants endpoint slots to waiting tickets during one term."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
 from tamarack_core.router_accounts import GRANT_IN_FLIGHT_MS, RouterAccounts
 from tamarack_core.running_grants import Running, RunningGrants
 
-PREDICT_FROM = 8
-PASS_LIMIT = 8
+WAIT_PREDICTION_MIN_TICKETS = 8  # tickets of a workspace; with fewer, no wait is predicted
+MAX_UNPLACED_TICKETS = 8  # tickets without a usable endpoint in one dispatch round
 
 
 class ShareReading(NamedTuple):
-    """Shares of one workspace at a dispatcher, for operators."""
+    """Service counter, queue length and service of one workspace, for operators."""
 
     workspace: str
     counter: float
@@ -61,11 +61,11 @@
     Parameters
     ----------
     shard, term
-        What it dispatches, and the number of its term.
+        The shard that it dispatches, and the number of the term.
     shards
-        How many shards the service has.
+        Number of shards of the service.
     now_ms
-        Time of the term's start; grants begin when registrations had time to arrive.
+        Start of the term; grants begin `registration_ms` later, so that routers can register.
     """
 
     def __init__(
@@ -80,17 +80,17 @@
         registration_ms: float = REGISTRATION_WINDOW_MS,
         order: str = FAIR,
     ) -> None:
-        grace_ms = 2 * exchange_ms if shards > 1 else 0.0
+        return_grace_ms = 2 * exchange_ms if shards > 1 else 0.0
         self._shard = shard
         self._term = term
         self._policy = policy
         self._shards = shards
-        self._open_ms = now_ms + registration_ms
+        self._grants_from_ms = now_ms + registration_ms
         self._pool = EndpointPool(seed=term)
         self._queue = QUEUES[order](
             policy.weights,
             default_weight=policy.default_weight,
-            return_grace_ms=grace_ms,
+            return_grace_ms=return_grace_ms,
             shard=shard.number,
             shards=shards,
             unit=policy.default_cost,
@@ -112,22 +112,22 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """Events by name since the term began."""
+        """Event counts by name since the term began."""
         return self._counts
 
     @property
     def waiting(self) -> int:
-        """Tickets that wait."""
+        """Number of waiting tickets."""
         return len(self._queue)
 
     @property
     def running(self) -> int:
-        """Grants in use."""
+        """Number of grants in use."""
         return len(self._running)
 
     @property
     def idle(self) -> bool:
-        """Whether nothing waits and nothing runs."""
+        """Whether there are no waiting tickets and no grants in use."""
         return not len(self._running) and not len(self._queue)
 
     @property
@@ -137,11 +137,11 @@
 
     @property
     def queue(self) -> FairQueue:
-        """The waiting tickets."""
+        """Queue of the waiting tickets."""
         return self._queue
 
     def shares(self) -> list[ShareReading]:
-        """Counter, backlog and service of each workspace seen in this term."""
+        """Counter, queue length and service of each workspace seen in this term."""
         names = sorted({name for name, _, _ in self._queue.totals()} | set(self._queue.backlogged))
         return [
             ShareReading(
@@ -161,18 +161,18 @@
         domains: dict[str, str],
         now_ms: float,
     ) -> None:
-        """Take endpoints, weights and the routers' failure domains in force."""
+        """Apply the current endpoints, policy and failure domains of routers."""
         self._policy = policy
         self._domains = domains
         self._queue.reweigh(policy.weights, policy.default_weight)
         self._pool.configure(specs, now_ms)
 
     def report(self, endpoint: str, load: LoadReport, now_ms: float) -> None:
-        """Take in an endpoint's load."""
+        """Process a load report of an endpoint."""
         self._pool.report(endpoint, load, now_ms)
 
     def submit(self, router: str, tickets: list[Ticket], now_ms: float) -> list[Send]:
-        """Queue tickets of a router; those that cannot be served are refused at once."""
+        """Queue tickets of a router; tickets that cannot be served are refused immediately."""
         self._routers.heard(router, now_ms)
         refusals = []
         for ticket in tickets:
@@ -182,9 +182,9 @@
         return self._refuse(router, refusals)
 
     def cancel(self, router: str, requests: list[str], now_ms: float) -> None:
-        """Drop tickets that no longer wait.
+        """Remove cancelled tickets.
 
-        A grant may have crossed the cancellation; the router returns it when it arrives.
+        If a grant crosses the cancellation on the network, the router returns the grant.
         """
         for request in requests:
             waiting = self._queue.find(request)
@@ -193,7 +193,7 @@
                 self._routers.waiting[router] -= 1
 
     def usage(self, router: str, usages: list[Usage], now_ms: float) -> None:
-        """Take in progress and settlements."""
+        """Process usage reports: progress of running requests and final settlements."""
         self._routers.heard(router, now_ms)
         for usage in usages:
             running = self._running.find(usage.request)
@@ -206,8 +206,8 @@
                 self._settle(running, usage, now_ms)
 
     def register(self, router: str, message: Register, now_ms: float) -> list[Send]:
-        """Replace all that is known of a router by its own list."""
-        told = {grant.request for grant in message.running}
+        """Replace the state held for a router with the router's own registration."""
+        running_requests = {grant.request for grant in message.running}
         waiting = {ticket.request for ticket in message.tickets}
         self._drop_router(router, now_ms, keep=waiting)
         for workspace, counter in message.counters.items():
@@ -217,11 +217,11 @@
                 grant.request, router, grant.workspace, grant.endpoint, grant.charged, now_ms
             )
             self._running.take(running)
-        tickets = [t for t in message.tickets if t.request not in told]
+        tickets = [t for t in message.tickets if t.request not in running_requests]
         return self.submit(router, tickets, now_ms)
 
     def poll(self, router: str, message: Poll, now_ms: float) -> Send:
-        """Answer a router's check; ask for all it has when the counts differ twice running."""
+        """Answer a router's poll; request a full registration after two mismatches in a row."""
         self._routers.heard(router, now_ms)
         resync = self._routers.differs_again(router, message, now_ms)
         if resync:
@@ -229,14 +229,14 @@
         return Send(router, PollAck(self._shard, self._term, resync))
 
     def router_gone(self, router: str, now_ms: float) -> None:
-        """Free what a dead router held, and forget it."""
+        """Release the tickets and grants of a dead router and remove its accounts."""
         self._drop_router(router, now_ms)
         self._routers.forget(router)
 
     def tick(self, now_ms: float) -> list[Send]:
-        """Refuse tickets whose deadline has passed, and refresh the endpoints."""
+        """Refuse expired tickets, refresh the endpoints and check for silent routers."""
         self._pool.refresh(now_ms)
-        late: dict[str, list[TicketRefusal]] = {}
+        expired: dict[str, list[TicketRefusal]] = {}
         while self._deadlines and self._deadlines[0][0] <= now_ms:
             _, request = heapq.heappop(self._deadlines)
             waiting = self._queue.find(request)
@@ -244,30 +244,30 @@
                 continue
             self._queue.remove(request, now_ms)
             self._routers.waiting[waiting.router] -= 1
-            late.setdefault(waiting.router, []).append(
+            expired.setdefault(waiting.router, []).append(
                 TicketRefusal(request, ErrorCode.DEADLINE, 1_000)
             )
         sends = []
-        for router, refusals in late.items():
+        for router, refusals in expired.items():
             sends.extend(self._refuse(router, refusals))
         return sends + self._check_routers(now_ms)
 
     def dispatch(self, now_ms: float) -> list[Send]:
-        """Grant free slots to waiting tickets in the order of fair shares."""
-        if now_ms < self._open_ms:
+        """Grant free slots to waiting tickets in fair-share order."""
+        if now_ms < self._grants_from_ms:
             return []
         grants: dict[str, list[Grant]] = {}
         counters: dict[str, dict[str, float]] = {}
-        passed_over: list[Waiting] = []
+        unplaced: list[Waiting] = []
         while len(self._queue):
-            if not self._pool.has_free or len(passed_over) >= PASS_LIMIT:
+            if not self._pool.has_free or len(unplaced) >= MAX_UNPLACED_TICKETS:
                 break
             waiting = self._queue.pop(now_ms)
             if waiting is None:
                 break
             endpoint = self._endpoint_for(waiting, now_ms)
             if endpoint is None:
-                passed_over.append(waiting)
+                unplaced.append(waiting)
                 continue
             grant = self._grant(waiting, endpoint, now_ms)
             grants.setdefault(waiting.router, []).append(grant)
@@ -275,7 +275,7 @@
             counters.setdefault(waiting.router, {})[workspace] = round(
                 self._queue.counter(workspace)
             )
-        for waiting in passed_over:
+        for waiting in unplaced:
             self._queue.push(waiting, now_ms)
         return [
             Send(router, Grants(self._shard, self._term, granted, counters[router]))
@@ -283,26 +283,26 @@
         ]
 
     def exchange(self) -> ShardCounters:
-        """Totals for the other shards: of backlogged workspaces and those that run."""
-        live = set(self._queue.backlogged) | self._running.workspaces
+        """Totals of workspaces with waiting tickets or running grants, for other shards."""
+        active = set(self._queue.backlogged) | self._running.workspaces
         charged = {}
         refunded = {}
         for name, plus, minus in self._queue.totals():
-            if name in live:
+            if name in active:
                 charged[name] = plus
                 refunded[name] = minus
         return ShardCounters(self._shard, self._term, charged, refunded)
 
     def merge(self, message: ShardCounters) -> None:
-        """Take in another shard's totals; older ones of the same term change nothing."""
+        """Merge totals of another shard; older totals of the same term have no effect."""
         for name, charged, serving in self._remote.merge(message):
             self._queue.exchange(name, charged, min(self._shards, 1 + serving))
 
     def _check_routers(self, now_ms: float) -> list[Send]:
-        """Free the slots of routers that hold many and have gone silent.
+        """Release the slots of routers that hold grants and stopped sending messages.
 
-        The members' own probing takes seconds to call a router dead; until then its slots would
-        stand idle while work waits. A router that was only cut off registers its runs again.
+        Membership probing takes seconds to declare a router dead. Until then its slots would stay
+        idle while tickets wait. A router that was only partitioned registers its runs again.
         """
         silent = self._routers.silent(self._pool.slots, now_ms)
         for router in silent.lost:
@@ -313,7 +313,7 @@
     def _endpoint_for(self, waiting: Waiting, now_ms: float) -> str | None:
         ticket = waiting.ticket
         domain = self._domains.get(waiting.router, "")
-        # With one endpoint there is nowhere else to go, so its failure does not exclude it.
+        # A single endpoint stays eligible after a failure, since there is no alternative.
         exclude = ticket.exclude if len(self._pool) > 1 else ""
         return self._pool.choose(
             now_ms, prefix=ticket.prefix, failure_domain=domain, exclude=exclude
@@ -324,13 +324,13 @@
         if running is not None:
             if now_ms - running.granted_ms < GRANT_IN_FLIGHT_MS:
                 return None
-            # The grant was lost on its way; otherwise the ticket would wait for ever.
+            # The grant was lost in transit; without a release the ticket would wait forever.
             self._running.release(running, now_ms)
             self._queue.charge(running.workspace, -running.charged)
         workspace = ticket.workspace
         if self._queue.waiting_of(workspace) >= self._policy.queue_limit:
             return TicketRefusal(ticket.request, ErrorCode.QUEUE_FULL, 1_000)
-        wait_ms = self._expected_wait(workspace)
+        wait_ms = self._expected_wait_ms(workspace)
         if wait_ms > ticket.deadline_ms:
             return TicketRefusal(ticket.request, ErrorCode.DEADLINE, int(wait_ms / 2))
         deadline_ms = now_ms + ticket.deadline_ms
@@ -343,9 +343,9 @@
         heapq.heappush(self._deadlines, (deadline_ms, ticket.request))
         return None
 
-    def _expected_wait(self, workspace: str) -> float:
+    def _expected_wait_ms(self, workspace: str) -> float:
         waiting = self._queue.waiting_of(workspace)
-        if waiting < PREDICT_FROM or self._pool.has_free:
+        if waiting < WAIT_PREDICTION_MIN_TICKETS or self._pool.has_free:
             return 0.0
         return waiting * self._intervals.mean_ms(workspace)
 
@@ -367,7 +367,7 @@
     def _progress(self, running: Running, cost: float) -> None:
         if cost <= running.charged:
             return
-        # Charged past what has run, so that a long run is felt before its next report.
+        # Charges beyond the reported cost, so that a long run counts before its next report.
         charged = cost * (1.0 + PROGRESS_STEP)
         self._queue.charge(running.workspace, charged - running.charged)
         self._running.charge(running, charged)
--- a/packages/core/src/tamarack_core/fair_queue.py
+++ b/packages/core/src/tamarack_core/fair_queue.py
@@ -1,7 +1,7 @@
-"""Waiting tickets in the order of fair shares.
+"""Weighted fair queue of waiting tickets.
 
-The backlogged workspace with the lowest counter of service per weight goes first. Counters are
-charged at the grant, corrected while a run goes on and settled at its end.
+The backlogged workspace with the lowest counter (service divided by weight) is served first.
+Counters are charged at the grant, adjusted during the run and settled at its end.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Waiting(NamedTuple):
-    """A ticket with the router that holds its request, and absolute times in milliseconds."""
+    """A queued ticket with the router of its request and absolute times in milliseconds."""
 
     ticket: Ticket
     router: str
@@ -26,17 +26,31 @@
 
     @property
     def rank(self) -> tuple[float, float, str]:
-        """Order inside the workspace: priority, deadline, arrival.
+        """Sort key within the workspace: priority, deadline, arrival.
 
-        A level of priority is worth `AGING_MS` of waiting, so that no request waits for ever
-        behind later ones of a better priority.
+        One priority level equals `AGING_MS` of waiting, so that later requests with a better
+        priority cannot starve a request.
         """
         due_ms = self.arrived_ms + self.ticket.priority * AGING_MS
         return (min(due_ms, self.deadline_ms), self.arrived_ms, self.ticket.request)
 
 
 class _Flow:
-    """Counters and waiting tickets of one workspace."""
+    """Counters and waiting tickets of one workspace.
+
+    Attributes
+    ----------
+    charged, refunded
+        Totals of this shard divided by weight; neither of them decreases.
+    remote, exchanged
+        Total of the other shards at the last exchange, and the own total at that time.
+    lift
+        Amount added to the counter when the workspace returns from idleness.
+    factor
+        Multiplier of the own grants since the last exchange.
+    unit, place
+        Expected charge of one grant, and the number of such charges that delay this shard.
+    """
 
     def __init__(self, weight: float) -> None:
         self.weight = weight
@@ -48,7 +62,7 @@
         self.factor = 1.0
         self.unit = 0.0
         self.place = 0
-        self.entered = 0.0
+        self.heap_key = 0.0
         self.idle_since_ms = float("-inf")
         self.heap: list[tuple[tuple[float, float, str], str]] = []
         self.waiting: dict[str, Waiting] = {}
@@ -59,33 +73,33 @@
 
     @property
     def counter(self) -> float:
-        since_exchange = self.own - self.exchanged
-        others = self.remote + since_exchange * (self.factor - 1.0)
+        own_since_exchange = self.own - self.exchanged
+        others = self.remote + own_since_exchange * (self.factor - 1.0)
         return self.own + others + self.lift
 
     @property
     def order(self) -> float:
-        """Place among the workspaces; written out, since every grant asks for it often."""
+        """Sort key among workspaces; inlines `counter`, since each grant reads it many times."""
         own = self.charged - self.refunded
         others = self.remote + (own - self.exchanged) * (self.factor - 1.0)
         return own + others + self.lift + self.unit * self.place
 
 
 class FairQueue:
-    """Tickets of one shard, taken in the order of fair shares.
+    """Tickets of one shard in fair-share order.
 
     Parameters
     ----------
     weights
-        Weight per workspace; one that is not listed has `default_weight`.
+        Weight per workspace; others have `default_weight`.
     return_grace_ms
-        How long a workspace may be without tickets before its return lifts its counter to the
-        lowest active one. Zero where this queue sees every ticket of the service.
+        Idle time in milliseconds after which a returning workspace's counter is lifted to the
+        lowest active counter. Zero if this queue receives every ticket of the service.
     shard, shards, unit
-        Which of how many shards this queue is, and what one grant is first thought to cost. Between
-        two exchanges all shards see the same lowest workspaces and would grant to them at once, as
-        many grants as there are shards. So each shard holds a workspace back by some places of one
-        grant's charge, and no two shards by the same number of places: they take turns.
+        Index of this shard, number of shards, and initial estimate of the cost of one grant.
+        Between two exchanges all shards see the same lowest workspaces and would all grant to
+        them, one grant per shard. Each shard therefore delays a workspace by a multiple of one
+        grant's charge, and the multiple differs between shards, so that the shards take turns.
     """
 
     def __init__(
@@ -121,30 +135,30 @@
         return [name for name, flow in self._flows.items() if flow.waiting]
 
     def waiting_of(self, workspace: str) -> int:
-        """Waiting tickets of one workspace."""
+        """Number of waiting tickets of a workspace."""
         flow = self._flows.get(workspace)
         return len(flow.waiting) if flow else 0
 
     def counter(self, workspace: str) -> float:
-        """Service per weight charged to a workspace, lifted on its return from idleness."""
+        """Service divided by weight of a workspace, including lifts after idle periods."""
         return self._flow(workspace).counter
 
     def entries(self) -> Iterator[Waiting]:
-        """All waiting tickets, in no order."""
+        """All waiting tickets, unordered."""
         for flow in self._flows.values():
             yield from flow.waiting.values()
 
     def waiting_in(self, workspace: str) -> list[Waiting]:
-        """Waiting tickets of one workspace, in no order."""
+        """Waiting tickets of a workspace, unordered."""
         return list(self._flow(workspace).waiting.values())
 
     def find(self, request: str) -> Waiting | None:
-        """The waiting ticket of a request."""
+        """The waiting ticket of a request, None if there is none."""
         workspace = self._owners.get(request)
         return self._flows[workspace].waiting[request] if workspace is not None else None
 
     def push(self, waiting: Waiting, now_ms: float) -> bool:
-        """Add a ticket; False if its request waits already."""
+        """Add a ticket; False if its request is already queued."""
         ticket = waiting.ticket
         if ticket.request in self._owners:
             return False
@@ -157,7 +171,7 @@
         return True
 
     def remove(self, request: str, now_ms: float) -> Waiting | None:
-        """Take a ticket out, wherever it stands."""
+        """Remove a request's ticket at any position; None if there is none."""
         workspace = self._owners.pop(request, None)
         if workspace is None:
             return None
@@ -169,7 +183,7 @@
         return waiting
 
     def pop(self, now_ms: float) -> Waiting | None:
-        """Take the next ticket in fair order; None when nothing waits."""
+        """Remove and return the next ticket in fair-share order; None if the queue is empty."""
         workspace = self._lowest()
         if workspace is None:
             return None
@@ -181,60 +195,60 @@
                 break
         waiting = self.remove(request, now_ms)
         if flow.waiting:
-            self._enter(workspace, flow)
+            self._reindex(workspace, flow)
         return waiting
 
     def charge(self, workspace: str, cost: float) -> None:
-        """Add cost units to a workspace's counter; negative ones are a refund."""
+        """Add cost units to a workspace's counter; a negative cost is a refund."""
         flow = self._flow(workspace)
         if cost >= 0:
             flow.charged += cost / flow.weight
         else:
             flow.refunded -= cost / flow.weight
         if flow.waiting:
-            self._enter(workspace, flow)
+            self._reindex(workspace, flow)
 
     def set_unit(self, workspace: str, cost: float) -> None:
-        """Say what one grant of a workspace is thought to cost now."""
+        """Set the expected cost of one grant of a workspace."""
         flow = self._flow(workspace)
         flow.unit = cost / flow.weight
 
     def raise_to(self, workspace: str, counter: float) -> None:
-        """Lift a counter to one that an earlier dispatcher had told."""
+        """Raise a counter to at least the value reported by an earlier dispatcher."""
         flow = self._flow(workspace)
         flow.lift += max(0.0, counter - flow.counter)
         if flow.waiting:
-            self._enter(workspace, flow)
+            self._reindex(workspace, flow)
 
     def totals(self) -> Iterator[tuple[str, float, float]]:
-        """Own grow-only totals: workspace, charged, refunded."""
+        """Grow-only totals of this shard: workspace, charged, refunded."""
         for name, flow in self._flows.items():
             if flow.charged or flow.refunded:
                 yield name, flow.charged, flow.refunded
 
     def exchange(self, workspace: str, remote: float, factor: float) -> None:
-        """Take in what other shards have charged.
+        """Apply what other shards have charged.
 
-        Between two exchanges each shard would run towards the same lowest workspace; counting
-        its own grants `factor` times until the next exchange keeps the gap bounded.
+        Between two exchanges all shards prefer the same lowest workspace. Counting this shard's
+        own grants `factor` times until the next exchange bounds the resulting gap.
         """
         flow = self._flow(workspace)
         flow.remote = remote
         flow.exchanged = flow.own
         flow.factor = max(1.0, factor)
         if flow.waiting:
-            self._enter(workspace, flow)
+            self._reindex(workspace, flow)
 
     def override(
         self, workspace: str, *, factor: float | None = None, place: int | None = None
     ) -> None:
-        """Set the factor or the place of a workspace by hand, to measure without them."""
+        """Override the factor or the place of a workspace, for experiments."""
         flow = self._flow(workspace)
         flow.factor = flow.factor if factor is None else max(1.0, factor)
         flow.place = flow.place if place is None else place
 
     def reweigh(self, weights: dict[str, float], default_weight: float) -> None:
-        """Take the weights of another preset; counters stay."""
+        """Apply the weights of another preset; counters are unchanged."""
         self._weights = weights
         self._default_weight = default_weight
         for name, flow in self._flows.items():
@@ -251,20 +265,20 @@
         return flow
 
     def _activate(self, workspace: str, flow: _Flow, now_ms: float) -> None:
-        # Without the lift a workspace that was away would be owed all the service that it did
-        # not ask for, and would shut the others out until it had caught up.
+        # Without the lift a returning workspace would be credited for its idle period and would
+        # starve the others until its counter caught up.
         if now_ms - flow.idle_since_ms >= self._return_grace_ms:
             flow.lift += max(0.0, self._floor - flow.counter)
-        self._enter(workspace, flow)
+        self._reindex(workspace, flow)
 
-    def _enter(self, workspace: str, flow: _Flow) -> None:
-        flow.entered = flow.order
-        heapq.heappush(self._heap, (flow.entered, workspace))
-        # Each change of a counter leaves a stale entry behind; rebuild before they outgrow.
+    def _reindex(self, workspace: str, flow: _Flow) -> None:
+        flow.heap_key = flow.order
+        heapq.heappush(self._heap, (flow.heap_key, workspace))
+        # Each counter change leaves a stale heap entry; a rebuild bounds their number.
         if len(self._heap) > 64 + 8 * len(self._flows):
-            live = [(f.entered, name) for name, f in self._flows.items() if f.waiting]
-            heapq.heapify(live)
-            self._heap = live
+            active = [(f.heap_key, name) for name, f in self._flows.items() if f.waiting]
+            heapq.heapify(active)
+            self._heap = active
 
     def _lowest(self) -> str | None:
         while self._heap:
@@ -273,8 +287,8 @@
             if flow is None or not flow.waiting:
                 heapq.heappop(self._heap)
                 continue
-            if order != flow.entered:
-                # Every change enters the workspace anew; this entry is of before one.
+            if order != flow.heap_key:
+                # A stale entry: each counter change pushes a new one.
                 heapq.heappop(self._heap)
                 continue
             heapq.heappop(self._heap)
--- a/packages/core/src/tamarack_core/membership.py
+++ b/packages/core/src/tamarack_core/membership.py
@@ -1,4 +1,4 @@
-"""Membership by probing, with suspicion and incarnation numbers (SWIM, Das et al. 2002)."""
+"""Membership by probing with suspicion and incarnation numbers (SWIM, Das et al. 2002)."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 ALIVE, LEAVING, SUSPECT, DEAD = 0, 1, 2, 3
 STATE_NAMES = ("alive", "leaving", "suspect", "dead")
-HELPERS = 2
+INDIRECT_PROBES = 2  # members asked to probe one that does not answer directly
 EXPIRY_CHECK_MS = 250
 
 
 class _Probe(NamedTuple):
-    """A probe that has not been answered."""
+    """An unanswered probe."""
 
     sequence: int
     target: str
     sent_ms: float
-    asked_helpers: bool
+    indirect_sent: bool
 
 
-class _Known(NamedTuple):
-    """What is known of a member and since when."""
+class _MemberState(NamedTuple):
+    """Last update of a member, and monotonic times of its state and of its last message."""
 
     update: MemberUpdate
     since_ms: float
@@ -42,20 +42,20 @@
 
 
 class Membership:
-    """The members of the fleet as one router sees them.
+    """One router's local view of the members of the fleet.
 
     Parameters
     ----------
     me
         The router's own entry.
     seed
-        Seed of the order of probes.
+        Seed of the probe order.
     """
 
     def __init__(self, me: MemberUpdate, *, seed: int = 0) -> None:
         self._me = me
         self._random = random.Random(seed)
-        self._known: dict[str, _Known] = {}
+        self._known: dict[str, _MemberState] = {}
         self._gossip: dict[str, int] = {}
         self._order: list[str] = []
         self._probes: dict[str, _Probe] = {}
@@ -75,24 +75,24 @@
 
     @property
     def changes(self) -> int:
-        """Rises whenever a member's state changes."""
+        """Counter that increases whenever a member's state changes."""
         return self._changes
 
     @property
     def members(self) -> list[MemberUpdate]:
-        """All members known, the router itself first."""
+        """All known members, the router itself first."""
         return [self._me, *(known.update for known in self._known.values())]
 
     @property
     def updates(self) -> int:
-        """Rises whenever anything is learned of a member."""
+        """Counter that increases with every stored update of a member."""
         return self._updates
 
     @property
     def usable(self) -> list[str]:
-        """Members that may dispatch and take new requests: alive and not leaving."""
-        # Asked for with each ticket; at 1,600 members a new list each time would cost more than
-        # all else that a ticket costs.
+        """Members that may dispatch and accept new requests: alive and not leaving."""
+        # Read once per ticket. At 1,600 members, building the list each time would cost more than
+        # the rest of the work for a ticket, so it is cached until a state changes.
         if self._usable_at != self._changes:
             self._usable_at = self._changes
             self._usable = [m.router for m in self.members if m.state == ALIVE]
@@ -100,48 +100,48 @@
 
     @property
     def reachable(self) -> list[str]:
-        """Other members that are not thought dead."""
+        """Other members that are neither suspected nor dead."""
         return [n for n, known in self._known.items() if known.update.state in (ALIVE, LEAVING)]
 
     def find(self, router: str) -> MemberUpdate | None:
-        """Entry of a member."""
+        """Entry of a member, None if it is unknown."""
         if router == self._me.router:
             return self._me
         known = self._known.get(router)
         return known.update if known else None
 
     def cut_off(self, now_ms: float) -> bool:
-        """Whether most of the members known in the last minute cannot be seen."""
+        """Whether most members known within the last minute are suspected or dead."""
         recent = [
-            k for k in self._known.values() if k.update.state != DEAD or self._fresh(k, now_ms)
+            k for k in self._known.values() if k.update.state != DEAD or self._is_recent(k, now_ms)
         ]
         lost = sum(1 for k in recent if k.update.state in (SUSPECT, DEAD))
         return bool(recent) and lost * 2 > len(recent)
 
     def describe(self, *, config_version: int | None = None, room: int | None = None) -> None:
-        """Change what the router tells of itself."""
+        """Change the router's published entry."""
         me = self._me
         version = me.config_version if config_version is None else config_version
         changed = version != me.config_version
-        new_room = me.room if room is None else room
-        # Room changes with each request; only a change by a quarter is worth the bytes.
-        changed = changed or abs(new_room - me.room) * 4 > max(me.room, 8)
+        current_room = me.room if room is None else room
+        # Room changes with each request; only changes of a quarter or more are published.
+        changed = changed or abs(current_room - me.room) * 4 > max(me.room, 8)
         if not changed:
             return
         self._me = me._replace(
-            config_version=version, room=new_room, incarnation=me.incarnation + 1
+            config_version=version, room=current_room, incarnation=me.incarnation + 1
         )
-        self._spread(me.router)
+        self._queue_gossip(me.router)
 
     def leave(self) -> list[Send]:
-        """Tell that this router takes no new work; a few members hear it at once."""
+        """Publish that this router accepts no new requests, directly to a few members first."""
         self._me = self._me._replace(state=LEAVING, incarnation=self._me.incarnation + 1)
         self._changes += 1
-        self._spread(self._me.router)
+        self._queue_gossip(self._me.router)
         return [self._ping(name) for name in self._sample(SYNC_MEMBERS, exclude="")]
 
     def join(self, addresses: list[str]) -> list[Send]:
-        """Probe seeds whose names are not known yet."""
+        """Probe seed addresses that belong to no known member."""
         known = {k.update.peer_address for k in self._known.values()} | {self._me.peer_address}
         return [
             Send("", Ping(0, "", [self._me]), address)
@@ -150,23 +150,23 @@
         ]
 
     def tick(self, now_ms: float) -> list[Send | Reconnect]:
-        """Probe the next member, and move silent ones on to suspect and dead."""
+        """Probe the next member, and mark silent members as suspect and then dead."""
         sends: list[Send | Reconnect] = []
         for probe in list(self._probes.values()):
             sends.extend(self._check_probe(probe, now_ms))
         if now_ms >= self._next_expiry_ms:
             self._next_expiry_ms = now_ms + EXPIRY_CHECK_MS
-            self._expire(now_ms)
+            self._advance_states(now_ms)
         if now_ms >= self._next_probe_ms:
             self._next_probe_ms = now_ms + PROBE_INTERVAL_MS
             sends.extend(self._start_probe(now_ms))
         return sends
 
     def doubt(self, router: str, now_ms: float) -> list[Send]:
-        """Probe a member out of its turn, since something shows that it may not answer.
+        """Probe a member immediately, after an indication that it may be unreachable.
 
-        In turn a member is probed once in as many intervals as there are members. Until then
-        callers are sent to a router that is gone, and meet refused connections there.
+        The regular rotation probes each member once per as many intervals as there are members.
+        Until then callers would be sent to a stopped router, where connections are refused.
         """
         known = self._known.get(router)
         if known is None or known.update.state not in (ALIVE, LEAVING) or router in self._probes:
@@ -174,21 +174,21 @@
         return [self._begin_probe(router, now_ms)]
 
     def heard(self, router: str, now_ms: float) -> None:
-        """Note that a message of a member came in."""
+        """Record that a message of a member was received."""
         known = self._known.get(router)
         if known is not None:
             self._known[router] = known._replace(heard_ms=now_ms)
 
     def ping(self, sender: str, message: Ping, now_ms: float) -> list[Send]:
-        """Answer a probe; one who is not known yet is told of many members."""
+        """Answer a probe; a sender that was unknown receives a larger sample of members."""
         if message.target not in ("", self._me.router):
             return []
-        new = sender not in self._known
-        self._take(message.updates, now_ms)
+        first_contact = sender not in self._known
+        self._apply_updates(message.updates, now_ms)
         known = self._known.get(sender)
         if known is None:
             return []
-        limit = SYNC_MEMBERS if new or not message.target else 0
+        limit = SYNC_MEMBERS if first_contact or not message.target else 0
         updates = self._piggyback() + [
             self._known[name].update for name in self._sample(limit, exclude=sender)
         ]
@@ -198,17 +198,17 @@
         return [Send(sender, ack, known.update.peer_address)]
 
     def ack(self, sender: str, message: PingAck, now_ms: float) -> list[Send]:
-        """Take in the answer to a probe, and pass it on if it was made for another."""
-        self._take(message.updates, now_ms)
-        self._answered(sender, message.sequence, now_ms)
+        """Process a probe's answer; forward it if the probe was made for another member."""
+        self._apply_updates(message.updates, now_ms)
+        self._confirm_alive(sender, message.sequence, now_ms)
         waiting = self._relayed.pop(message.sequence, None)
         if waiting is None:
             return []
-        asker, sequence = waiting
-        return [Send(asker, PingRelayed(sequence, sender))]
+        requester, sequence = waiting
+        return [Send(requester, PingRelayed(sequence, sender))]
 
     def ping_request(self, sender: str, message: PingRequest) -> list[Send]:
-        """Probe a member on another's behalf."""
+        """Probe a member on behalf of another."""
         self._sequence += 1
         self._relayed[self._sequence] = (sender, message.sequence)
         while len(self._relayed) > 64:
@@ -217,52 +217,52 @@
         return [Send(message.target, ping, message.peer_address)]
 
     def relayed(self, message: PingRelayed, now_ms: float) -> None:
-        """Take in that a helper reached a member."""
-        self._answered(message.target, message.sequence, now_ms)
+        """Process an indirect probe's success."""
+        self._confirm_alive(message.target, message.sequence, now_ms)
 
-    def _fresh(self, known: _Known, now_ms: float) -> bool:
+    def _is_recent(self, known: _MemberState, now_ms: float) -> bool:
         return now_ms - known.since_ms < FORGET_DEAD_MS
 
-    def _answered(self, router: str, sequence: int, now_ms: float) -> None:
+    def _confirm_alive(self, router: str, sequence: int, now_ms: float) -> None:
         self.heard(router, now_ms)
         probe = self._probes.get(router)
         if probe is not None and probe.sequence == sequence:
             del self._probes[router]
         known = self._known.get(router)
         if known is not None and known.update.state == SUSPECT:
-            self._set(known.update._replace(state=ALIVE), now_ms)
+            self._store_update(known.update._replace(state=ALIVE), now_ms)
 
     def _check_probe(self, probe: _Probe, now_ms: float) -> list[Send | Reconnect]:
         waited_ms = now_ms - probe.sent_ms
         if waited_ms >= PROBE_INTERVAL_MS:
             del self._probes[probe.target]
             return list(self._suspect(probe.target, now_ms))
-        if waited_ms < PROBE_TIMEOUT_MS or probe.asked_helpers:
+        if waited_ms < PROBE_TIMEOUT_MS or probe.indirect_sent:
             return []
-        self._probes[probe.target] = probe._replace(asked_helpers=True)
+        self._probes[probe.target] = probe._replace(indirect_sent=True)
         known = self._known.get(probe.target)
         if known is None:
             return []
         address = known.update.peer_address
         request = PingRequest(probe.sequence, probe.target, address)
         ping = Ping(probe.sequence, probe.target, [self._me])
-        helpers = self._sample(HELPERS, exclude=probe.target)
+        intermediaries = self._sample(INDIRECT_PROBES, exclude=probe.target)
         return [
             Reconnect(probe.target),
             Send(probe.target, ping, address),
-            *(Send(name, request) for name in helpers),
+            *(Send(name, request) for name in intermediaries),
         ]
 
     def _suspect(self, router: str, now_ms: float) -> list[Send]:
-        """Suspect a member that did not answer, and tell a few others at once.
+        """Suspect a member that did not answer, and notify a few other members immediately.
 
-        They name its address to callers until they hear of it; told only with the next probes,
-        some would for seconds.
+        Other members give out its address to callers until they receive the suspicion. If it
+        spread only with regular probes, some would do so for seconds.
         """
         known = self._known.get(router)
         if known is None or known.update.state not in (ALIVE, LEAVING):
             return []
-        self._set(known.update._replace(state=SUSPECT), now_ms)
+        self._store_update(known.update._replace(state=SUSPECT), now_ms)
         return [self._ping(name) for name in self._sample(SYNC_MEMBERS, exclude=router)]
 
     def _start_probe(self, now_ms: float) -> list[Send]:
@@ -290,7 +290,7 @@
         known = self._known[target]
         updates = [self._me, *self._piggyback()]
         if known.update.state in (SUSPECT, DEAD):
-            # Told of the suspicion, a live member can refute it by a higher incarnation.
+            # A live member refutes the suspicion with a higher incarnation number.
             updates.append(known.update)
         return Send(target, Ping(self._sequence, target, updates), known.update.peer_address)
 
@@ -300,57 +300,57 @@
         names = [n for n in self.reachable if n != exclude]
         return self._random.sample(names, min(count, len(names)))
 
-    def _expire(self, now_ms: float) -> None:
+    def _advance_states(self, now_ms: float) -> None:
         for name, known in list(self._known.items()):
             state = known.update.state
             if state == SUSPECT and now_ms - known.since_ms >= SUSPICION_MS:
-                self._set(known.update._replace(state=DEAD), now_ms)
-            elif state == DEAD and not self._fresh(known, now_ms):
+                self._store_update(known.update._replace(state=DEAD), now_ms)
+            elif state == DEAD and not self._is_recent(known, now_ms):
                 del self._known[name]
                 self._changes += 1
                 self._gossip.pop(name, None)
 
-    def _take(self, updates: list[MemberUpdate], now_ms: float) -> None:
+    def _apply_updates(self, updates: list[MemberUpdate], now_ms: float) -> None:
         for update in updates:
             if update.router == self._me.router:
                 self._refute(update)
             else:
-                self._consider(update, now_ms)
+                self._merge_update(update, now_ms)
 
     def _refute(self, update: MemberUpdate) -> None:
         me = self._me
-        wrong = update.state in (SUSPECT, DEAD) and update.incarnation >= me.incarnation
-        if wrong:
+        refutable = update.state in (SUSPECT, DEAD) and update.incarnation >= me.incarnation
+        if refutable:
             self._me = me._replace(incarnation=update.incarnation + 1)
-            self._spread(me.router)
+            self._queue_gossip(me.router)
 
-    def _consider(self, update: MemberUpdate, now_ms: float) -> None:
+    def _merge_update(self, update: MemberUpdate, now_ms: float) -> None:
         known = self._known.get(update.router)
         if known is None:
             if update.state != DEAD:
-                self._set(update, now_ms)
+                self._store_update(update, now_ms)
             return
         old = known.update
         newer = update.incarnation > old.incarnation
-        worse = update.incarnation == old.incarnation and update.state > old.state
-        if newer or worse:
-            self._set(update, now_ms)
+        overrides = update.incarnation == old.incarnation and update.state > old.state
+        if newer or overrides:
+            self._store_update(update, now_ms)
 
-    def _set(self, update: MemberUpdate, now_ms: float) -> None:
+    def _store_update(self, update: MemberUpdate, now_ms: float) -> None:
         self._updates += 1
         old = self._known.get(update.router)
         heard_ms = old.heard_ms if old else now_ms
         same_state = old is not None and old.update.state == update.state
         since_ms = old.since_ms if old is not None and same_state else now_ms
-        self._known[update.router] = _Known(update, since_ms, heard_ms)
+        self._known[update.router] = _MemberState(update, since_ms, heard_ms)
         if not same_state:
             self._changes += 1
         if old is None:
             position = self._random.randint(0, len(self._order))
             self._order.insert(position, update.router)
-        self._spread(update.router)
+        self._queue_gossip(update.router)
 
-    def _spread(self, router: str) -> None:
+    def _queue_gossip(self, router: str) -> None:
         self._gossip[router] = GOSSIP_FACTOR * math.ceil(math.log2(len(self._known) + 2))
 
     def _piggyback(self) -> list[MemberUpdate]:
