--- a/packages/core/src/tamarack_core/dispatch_host.py
+++ b/packages/core/src/tamarack_core/dispatch_host.py
@@ -1,4 +1,4 @@
-"""The shards that one router dispatches, and their terms."""
+"""Dispatchers of the shards that one router dispatches, and their terms."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class DispatchHost:
-    """Dispatchers that live on this router.
+    """Dispatchers that run on this router.
 
-    Routers choose whom they send tickets to; whoever receives one dispatches. Two at once cost
-    over-admission for a moment, never a request run twice.
+    Routers choose where they send tickets, and a router that receives one dispatches its shard.
+    Two dispatchers of a shard over-admit for a short time but never run a request twice.
     """
 
     def __init__(
@@ -40,17 +40,17 @@
         self._exchange_ms = exchange_ms
         self._order = order
         self._leaving: frozenset[str] = frozenset()
-        self._configured_at = 0
+        self._configured_changes = 0
         self._config = Configuration()
         self._dispatchers: dict[ShardKey, Dispatcher] = {}
-        self._seen: dict[ShardKey, int] = {}
+        self._highest_terms: dict[ShardKey, int] = {}
         self._idle_since: dict[ShardKey, float] = {}
         self._next_exchange_ms = 0.0
         self._counts: Counter[str] = Counter()
 
     @property
     def counts(self) -> Counter[str]:
-        """Events by name."""
+        """Event counts by name."""
         return self._counts
 
     @property
@@ -59,7 +59,7 @@
         return self._dispatchers
 
     def watched(self) -> dict[str, str]:
-        """Addresses of the endpoints whose load this router needs."""
+        """Addresses by name of the endpoints whose load this router polls."""
         return {
             spec.name: spec.address
             for dispatcher in self._dispatchers.values()
@@ -67,7 +67,7 @@
         }
 
     def configure(self, config: Configuration, now_ms: float) -> None:
-        """Take the configuration in force; shards that no longer exist end."""
+        """Apply a configuration; dispatchers of shards that no longer exist are removed."""
         self._config = config
         for shard in list(self._dispatchers):
             if shard.number >= config.shard_count(shard.service, self._shard_size):
@@ -78,23 +78,23 @@
     def ensure(
         self, shard: ShardKey, term: int, now_ms: float
     ) -> tuple[Dispatcher | None, list[Send]]:
-        """Give the shard's dispatcher; begin a term if there is none, or a higher one was heard.
+        """Return the shard's dispatcher; start a term if there is none or `term` is higher.
 
-        A router that heard the higher term takes answers in a lower one for stale; it would turn
-        away, come back when it stops avoiding this one, and so on for good.
+        A router that has seen the higher term ignores messages of a lower one as stale. It would
+        switch to another dispatcher, return when its avoidance expires, and repeat this forever.
         """
-        self._seen[shard] = max(term, self._seen.get(shard, 0))
+        self._highest_terms[shard] = max(term, self._highest_terms.get(shard, 0))
         dispatcher = self._dispatchers.get(shard)
         if dispatcher is not None and dispatcher.term >= term:
             return dispatcher, []
         if not self._config.version:
             return None, []
-        return self._begin(shard, now_ms)
+        return self._start_term(shard, now_ms)
 
     def term_start(self, sender: str, message: TermStart) -> None:
-        """Step down for a dispatcher with a higher term; on a tie the greater name goes on."""
+        """Step down for a dispatcher with a higher term; the greater router name wins a tie."""
         shard = message.shard
-        self._seen[shard] = max(message.term, self._seen.get(shard, 0))
+        self._highest_terms[shard] = max(message.term, self._highest_terms.get(shard, 0))
         dispatcher = self._dispatchers.get(shard)
         if dispatcher is None or sender == self._membership.me.router:
             return
@@ -103,38 +103,38 @@
             del self._dispatchers[shard]
 
     def step_down(self) -> None:
-        """Give up all shards, as after a pause: others have taken over since."""
+        """Drop all dispatchers, such as after a pause, when other routers have taken over."""
         self._counts["stepped_down"] += len(self._dispatchers)
         self._dispatchers.clear()
 
     def router_gone(self, router: str, now_ms: float) -> None:
-        """Free what a dead router held."""
+        """Release the tickets and grants of a dead router."""
         for dispatcher in self._dispatchers.values():
             dispatcher.router_gone(router, now_ms)
 
     def report(self, endpoint: str, load: LoadReport, now_ms: float) -> None:
-        """Take in an endpoint's load."""
+        """Process a load report of an endpoint."""
         for dispatcher in self._dispatchers.values():
             if dispatcher.pool.knows(endpoint):
                 dispatcher.report(endpoint, load, now_ms)
 
     def set_leaving(self, names: frozenset[str], now_ms: float) -> None:
-        """Take the platform's list of leaving endpoints."""
+        """Apply the platform's list of leaving endpoints."""
         self._leaving = names
         for dispatcher in self._dispatchers.values():
             dispatcher.pool.set_leaving(names, now_ms)
 
     def merge(self, message: ShardCounters) -> None:
-        """Take in another shard's counters."""
+        """Merge the counters of another shard."""
         for shard, dispatcher in self._dispatchers.items():
             if shard.service == message.shard.service and shard != message.shard:
                 dispatcher.merge(message)
 
     def tick(self, now_ms: float) -> list[Send]:
-        """Refuse late tickets, exchange counters, drop what is no longer dispatched here."""
+        """Refuse expired tickets, exchange counters and drop idle dispatchers."""
         sends: list[Send] = []
-        if self._order == LOCAL and self._configured_at != self._membership.changes:
-            self._configured_at = self._membership.changes
+        if self._order == LOCAL and self._configured_changes != self._membership.changes:
+            self._configured_changes = self._membership.changes
             for shard in self._dispatchers:
                 self._configure_one(shard, now_ms)
         for dispatcher in self._dispatchers.values():
@@ -146,15 +146,15 @@
         return sends
 
     def dispatch(self, now_ms: float) -> list[Send]:
-        """Grant whatever can be granted."""
+        """Grant free slots at all dispatchers."""
         sends: list[Send] = []
         for dispatcher in self._dispatchers.values():
             sends.extend(dispatcher.dispatch(now_ms))
         return sends
 
-    def _begin(self, shard: ShardKey, now_ms: float) -> tuple[Dispatcher, list[Send]]:
-        term = self._seen[shard] = self._seen[shard] + 1
-        # Alone, a router neither asks for others' tickets nor takes their shards.
+    def _start_term(self, shard: ShardKey, now_ms: float) -> tuple[Dispatcher, list[Send]]:
+        term = self._highest_terms[shard] = self._highest_terms[shard] + 1
+        # With the local order, a router dispatches only its own tickets and contacts no others.
         others = [] if self._order == LOCAL else self._membership.reachable
         dispatcher = Dispatcher(
             shard,
@@ -187,13 +187,13 @@
         if self._order != LOCAL:
             return specs
         first = 0
-        own = []
+        own_specs = []
         for spec in specs:
             me, usable = self._membership.me.router, self._membership.usable
             slots = slots_of(me, [*usable, me] if me not in usable else usable, spec.slots, first)
             first += spec.slots
-            own.append(spec._replace(slots=slots))
-        return own
+            own_specs.append(spec._replace(slots=slots))
+        return own_specs
 
     def _exchange(self) -> list[Send]:
         sends: list[Send] = []
@@ -214,8 +214,10 @@
     def _drop_idle(self, now_ms: float) -> None:
         usable = self._membership.usable
         for shard, dispatcher in list(self._dispatchers.items()):
-            mine = winner(f"{shard.service}/{shard.number}", usable) == self._membership.me.router
-            if mine or not dispatcher.idle:
+            preferred = (
+                winner(f"{shard.service}/{shard.number}", usable) == self._membership.me.router
+            )
+            if preferred or not dispatcher.idle:
                 self._idle_since.pop(shard, None)
                 continue
             since_ms = self._idle_since.setdefault(shard, now_ms)
--- a/packages/core/src/tamarack_core/request_table.py
+++ b/packages/core/src/tamarack_core/request_table.py
@@ -1,6 +1,6 @@
-"""Requests that a router holds: claim, ticket, grant, run and settlement.
+"""Requests held by a router: claim, ticket, grant, run and settlement.
 
-Every event returns actions; a request leaves the table when it is finished or refused.
+Each event returns actions. A request leaves the table when it is finished or refused.
 """
 
 from __future__ import annotations
@@ -49,8 +49,8 @@
 from tamarack_core.shard_links import ShardLinks
 from tamarack_core.tracked_request import TrackedRequest
 
-TICKET_SHARDS = 2
-HELD_CHECK_MS = 100
+TICKET_SHARDS = 2  # shards that receive a ticket of each request
+TIMEOUT_CHECK_MS = 100
 
 
 class RequestTable:
@@ -61,7 +61,7 @@
     router
         The router's own name.
     candidates
-        The members that may dispatch, the router itself included.
+        The members that may dispatch, including this router.
     """
 
     def __init__(
@@ -80,65 +80,67 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """Events by name."""
+        """Event counts by name."""
         return self._counts
 
     @property
     def waiting(self) -> int:
-        """Requests without a grant."""
+        """Number of requests without a grant."""
         return sum(1 for held in self._held.values() if held.state in ("claiming", "waiting"))
 
     @property
     def running(self) -> int:
-        """Requests with a grant."""
+        """Number of requests with a grant."""
         return sum(1 for held in self._held.values() if held.state == "running")
 
     def terms(self) -> dict[ShardKey, tuple[str, int]]:
-        """Dispatcher and term followed for each shard in use."""
+        """Current dispatcher and term of each shard in use."""
         return self._links.terms()
 
     def configure(self, config: Configuration) -> None:
-        """Take the configuration in force."""
+        """Apply a configuration."""
         self._config = config
 
     # Events of the request itself
 
     def submit(self, spec: RequestSpec, now_ms: float) -> list[Action]:
-        """Take a request; it is claimed first if it has a key."""
+        """Accept a request; if it has an idempotency key, the key is claimed first."""
         self._budget.earn()
         held = self._held[spec.request] = TrackedRequest(spec, now_ms)
         if not spec.key:
-            return self._queue(held, now_ms)
+            return self._submit_tickets(held, now_ms)
         held.state = "claiming"
         held.claim_sent_ms = now_ms
         held.claim_asked = keeper_of(spec)
         return [claim_key(spec)]
 
     def claim_answer(self, keeper: str, answer: ClaimAnswer, now_ms: float) -> list[Action]:
-        """Go on with a request as its keeper decided."""
+        """Continue a request according to its key owner's decision."""
         held = self._held.get(answer.request)
         if held is None or held.state != "claiming":
-            # The caller has left; the claim that was opened for it must not bar a retry.
+            # The caller has disconnected; its claim is released so that a retry can run.
             self._counts["claim_unmatched"] += 1
             if answer.state == FRESH:
                 return [Send(keeper, ClaimDone(answer.request, RELEASED))]
             return []
-        return self._claimed(held, answer, now_ms)
+        return self._apply_claim(held, answer, now_ms)
 
     def row_answer(self, claim: ClaimRow, answer: ClaimAnswer, now_ms: float) -> list[Action]:
-        """Go on with a request as the table service decided."""
+        """Continue a request according to the table service's decision."""
         held = self._held.get(claim.request)
         if held is None or held.state != "claiming":
             self._counts["claim_unmatched"] += 1
             if answer.state == FRESH:
                 return [RowDone(claim.key, claim.workspace, RELEASED)]
             return []
-        return self._claimed(held, answer, now_ms)
+        return self._apply_claim(held, answer, now_ms)
 
-    def _claimed(self, held: TrackedRequest, answer: ClaimAnswer, now_ms: float) -> list[Action]:
+    def _apply_claim(
+        self, held: TrackedRequest, answer: ClaimAnswer, now_ms: float
+    ) -> list[Action]:
         if answer.state == FRESH:
-            return self._queue(held, now_ms)
-        address = self._readable_at(answer, held.spec)
+            return self._submit_tickets(held, now_ms)
+        address = self._replay_address(answer, held.spec)
         if answer.state in (RUNNING, DONE):
             del self._held[answer.request]
             return [FollowRequest(answer.request, answer.holder, answer.run, address)]
@@ -148,7 +150,7 @@
         return self._refuse(held, claim_refusal(answer.state, first=held.spec.first), now_ms)
 
     def cancel(self, request: str, now_ms: float) -> list[Action]:
-        """The caller of a request that does not run yet went away."""
+        """Cancel a request that does not run yet, after its caller has disconnected."""
         held = self._held.get(request)
         if held is None or held.state == "running":
             return []
@@ -159,7 +161,7 @@
         return actions
 
     def progress(self, request: str, cost: float, now_ms: float) -> list[Action]:
-        """Tell the dispatcher when a run has passed what it was charged."""
+        """Report progress when a run's cost exceeds what it has been charged."""
         held = self._held.get(request)
         if held is None or held.grant is None or cost <= held.told_cost:
             return []
@@ -169,7 +171,7 @@
     def finished(
         self, request: str, cost: float, usage_state: int, key_state: str, now_ms: float
     ) -> list[Action]:
-        """Settle a run that has ended, and tell the keeper."""
+        """Settle a finished run and report it to the key owner."""
         held = self._held.pop(request, None)
         if held is None:
             return []
@@ -180,12 +182,12 @@
     def again(
         self, request: str, usage: Usage, now_ms: float, *, sent: bool
     ) -> list[Action] | None:
-        """Queue a request anew after an endpoint failed; None if it may not run again.
+        """Requeue a request after an endpoint failure; None if it may not run again.
 
         Parameters
         ----------
         sent
-            Whether a byte of the request may have reached the endpoint.
+            Whether any byte of the request may have reached the endpoint.
         """
         held = self._held.get(request)
         if held is None or held.grant is None or now_ms >= held.spec.deadline_ms:
@@ -195,24 +197,24 @@
         held.exclude = held.grant.endpoint
         held.maybe_ran = held.maybe_ran or sent
         actions = self._settle(held, usage)
-        actions.extend(self._queue(held, now_ms))
+        actions.extend(self._submit_tickets(held, now_ms))
         self._counts["again"] += 1
         return actions
 
     # Messages of dispatchers
 
     def grants(self, sender: str, message: Grants, now_ms: float) -> list[Action]:
-        """Start granted requests; grants that are not needed go back."""
+        """Start granted requests; grants that cannot be used are returned."""
         link = self._links.heard(message.shard, sender, message.term, now_ms)
         if link is not None:
             link.remember(message.counters)
         actions: list[Action] = []
         for grant in message.grants:
-            actions.extend(self._granted(sender, message.shard, grant, now_ms))
+            actions.extend(self._handle_grant(sender, message.shard, grant, now_ms))
         return actions
 
     def refusals(self, sender: str, message: RefuseTickets, now_ms: float) -> list[Action]:
-        """End requests that the dispatcher refused."""
+        """Refuse the requests whose tickets the dispatcher refused."""
         self._links.heard(message.shard, sender, message.term, now_ms)
         actions: list[Action] = []
         for refusal in message.refusals:
@@ -227,38 +229,38 @@
         return actions
 
     def poll_ack(self, sender: str, message: PollAck, now_ms: float) -> list[Action]:
-        """Note that the dispatcher lives; register anew if it asks."""
+        """Record that the dispatcher is alive; register again if it asks for a resync."""
         link = self._links.heard(message.shard, sender, message.term, now_ms)
         if link is None or not message.resync:
             return []
         return [self._links.registration(link, now_ms)]
 
     def probe(self, sender: str, message: Probe, now_ms: float) -> list[Action]:
-        """Show a dispatcher that this router lives, and what it has outstanding there."""
+        """Answer a dispatcher's liveness probe with a poll of the outstanding numbers."""
         link = self._links.find(message.shard)
         if link is None or sender != link.target:
             return []
         return [Send(sender, link.poll(now_ms))]
 
     def term_start(self, sender: str, message: TermStart, now_ms: float) -> list[Action]:
-        """Follow a dispatcher that has begun a higher term."""
+        """Switch to a dispatcher that started a higher term."""
         link = self._links.find(message.shard)
         if link is None or not link.follow(sender, message.term, now_ms):
             return []
         return [self._links.registration(link, now_ms)]
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Check dispatchers, claims and deadlines."""
+        """Check dispatchers, claim timeouts and deadlines."""
         actions = self._links.tick(now_ms)
         if now_ms >= self._next_check_ms:
-            self._next_check_ms = now_ms + HELD_CHECK_MS
+            self._next_check_ms = now_ms + TIMEOUT_CHECK_MS
             for held in list(self._held.values()):
-                actions.extend(self._check_held(held, now_ms))
+                actions.extend(self._check_timeouts(held, now_ms))
         return actions
 
     # Helpers
 
-    def _queue(self, held: TrackedRequest, now_ms: float) -> list[Action]:
+    def _submit_tickets(self, held: TrackedRequest, now_ms: float) -> list[Action]:
         held.state = "waiting"
         held.grant = None
         held.grant_shard = None
@@ -281,7 +283,9 @@
             actions.append(Send(link.target, SubmitTickets(shard, link.term, [ticket])))
         return actions
 
-    def _granted(self, sender: str, shard: ShardKey, grant: Grant, now_ms: float) -> list[Action]:
+    def _handle_grant(
+        self, sender: str, shard: ShardKey, grant: Grant, now_ms: float
+    ) -> list[Action]:
         held = self._held.get(grant.request)
         endpoint = self._config.endpoint(grant.endpoint)
         if held is not None and held.grant is not None and held.grant_shard == shard:
@@ -317,8 +321,8 @@
                 actions.append(Send(link.target, CancelTickets(shard, [request])))
         return actions
 
-    def _readable_at(self, answer: ClaimAnswer, spec: RequestSpec) -> str:
-        """Address of the endpoint that can give the run's answer again, empty if none can."""
+    def _replay_address(self, answer: ClaimAnswer, spec: RequestSpec) -> str:
+        """Address of the endpoint that can replay the run's response, empty if none can."""
         service = self._config.service(spec.service)
         endpoint = self._config.endpoint(answer.endpoint)
         if service is None or endpoint is None or service["kind"] != "model":
@@ -341,14 +345,14 @@
         self._held.pop(held.spec.request, None)
         actions = self._withdraw(held, now_ms)
         if held.maybe_ran:
-            # An earlier try may have run; calling this one not run would invite a second run.
+            # An earlier attempt may have run; `not-run` would invite the caller to run it twice.
             refusal = refusal._replace(outcome=Outcome.UNKNOWN)
         if refusal.outcome == Outcome.NOT_RUN:
             actions.extend(tell_done(held.spec, RELEASED))
         actions.append(RefuseRequest(held.spec.request, refusal))
         return actions
 
-    def _check_held(self, held: TrackedRequest, now_ms: float) -> list[Action]:
+    def _check_timeouts(self, held: TrackedRequest, now_ms: float) -> list[Action]:
         if held.state == "claiming" and held.claim_asked:
             if now_ms - held.claim_sent_ms >= CLAIM_TIMEOUT_MS:
                 self._counts["keeper_silent"] += 1
--- a/packages/core/src/tamarack_core/router_core.py
+++ b/packages/core/src/tamarack_core/router_core.py
@@ -1,7 +1,7 @@
-"""All decisions of one router: members, tickets, dispatching, keys.
+"""All decisions of one router: membership, tickets, dispatching, idempotency keys.
 
-Events go in with the time, actions come out. Nothing here knows of sockets or threads, so a
-failure can be told as a list of events.
+The core takes timestamped events and returns actions. It uses no sockets or threads, so that a
+failure can be reproduced as a list of events.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 def handles(*kinds: type) -> Callable[[Handler], Handler]:
-    """Enter a method into the registry of handlers of peer messages."""
+    """Register a method as the handler of these kinds of peer messages."""
 
     def register(handler: Handler) -> Handler:
         for kind in kinds:
@@ -70,8 +70,8 @@
     return register
 
 
-class _Alone(NamedTuple):
-    """A router that dispatches its own requests only."""
+class _LocalCandidates(NamedTuple):
+    """Candidates of a router that dispatches only its own requests."""
 
     usable: list[str]
     changes: int = 0
@@ -83,9 +83,9 @@
     Parameters
     ----------
     me
-        The router's entry as a member; its incarnation is the start of its life.
+        The router's entry as a member; its incarnation is its boot time.
     now_ms
-        Monotonic time of the start.
+        Monotonic time of the boot.
     """
 
     def __init__(
@@ -108,38 +108,38 @@
         self._keeper = Keeper(me.router, self._boot, now_ms)
         self._config = Configuration()
         self._boots: dict[str, int] = {}
-        self._dead: set[str] = set()
+        self._known_dead: set[str] = set()
         self._ticked_ms = now_ms
         self._counts: Counter[str] = Counter()
 
     @property
     def boot(self) -> int:
-        """Start of this router's life, in milliseconds since the Unix epoch."""
+        """Boot time of this router in milliseconds since the Unix epoch."""
         return self._boot
 
     @property
     def membership(self) -> Membership:
-        """The members as seen here."""
+        """Local view of the members."""
         return self._membership
 
     @property
     def requests(self) -> RequestTable:
-        """Requests held here."""
+        """Requests held by this router."""
         return self._requests
 
     @property
     def host(self) -> DispatchHost:
-        """Dispatchers that live here."""
+        """Dispatchers that run on this router."""
         return self._host
 
     @property
     def keeper(self) -> Keeper:
-        """Keys kept here."""
+        """Keys owned by this router."""
         return self._keeper
 
     @property
     def counts(self) -> Counter[str]:
-        """Events by name, of all parts."""
+        """Event counts by name, summed over all components."""
         total = Counter(self._counts)
         for part in (self._requests.counts, self._host.counts):
             total.update(part)
@@ -148,107 +148,107 @@
         return total
 
     def token(self, now_ms: float) -> KeyToken:
-        """Keeper token to hand out with an address answer."""
+        """Token for new idempotency keys, returned with an address response."""
         return self._keeper.token(now_ms)
 
     def configure(self, config: Configuration, now_ms: float) -> None:
-        """Take the configuration in force."""
+        """Apply a configuration."""
         self._config = config
         self._membership.describe(config_version=config.version)
         self._requests.configure(config)
         self._host.configure(config, now_ms)
 
     def join(self, addresses: list[str]) -> list[Action]:
-        """Look for members at these addresses."""
+        """Probe these addresses for members."""
         return list(self._membership.join(addresses))
 
     def doubt(self, router: str, now_ms: float) -> list[Action]:
-        """Find out at once whether a member still answers."""
+        """Probe a member immediately."""
         return list(self._membership.doubt(router, now_ms))
 
     def leave(self) -> list[Action]:
-        """Announce that this router takes no new work, and hand its shards over."""
+        """Publish that this router accepts no new requests, and hand over its shards."""
         sends = self._membership.leave()
         self._host.step_down()
         return list(sends)
 
     def receive(self, frame: Frame, now_ms: float) -> list[Action]:
-        """Take in a frame of a peer."""
+        """Process a peer's frame."""
         if not self._note_boot(frame.sender, frame.incarnation, now_ms):
             return []
         actions: list[Action] = []
         self._membership.heard(frame.sender, now_ms)
         for message in frame.messages:
             actions.extend(self._handle(frame.sender, message, now_ms))
-        return self._settle(actions, now_ms)
+        return self._deliver_local(actions, now_ms)
 
     def submit(self, spec: RequestSpec, now_ms: float) -> list[Action]:
-        """Take a request."""
-        return self._settle(self._requests.submit(spec, now_ms), now_ms)
+        """Accept a request."""
+        return self._deliver_local(self._requests.submit(spec, now_ms), now_ms)
 
     def row_answer(self, claim: ClaimRow, answer: ClaimAnswer, now_ms: float) -> list[Action]:
-        """Take the table service's answer to a claim."""
-        return self._settle(self._requests.row_answer(claim, answer, now_ms), now_ms)
+        """Process the table service's answer to a claim."""
+        return self._deliver_local(self._requests.row_answer(claim, answer, now_ms), now_ms)
 
     def cancel(self, request: str, now_ms: float) -> list[Action]:
-        """The caller of a waiting request went away."""
-        return self._settle(self._requests.cancel(request, now_ms), now_ms)
+        """Cancel a waiting request after its caller has disconnected."""
+        return self._deliver_local(self._requests.cancel(request, now_ms), now_ms)
 
     def progress(self, request: str, cost: float, now_ms: float) -> list[Action]:
-        """A run has cost this much so far."""
-        return self._settle(self._requests.progress(request, cost, now_ms), now_ms)
+        """Process the cost of a run so far, in cost units."""
+        return self._deliver_local(self._requests.progress(request, cost, now_ms), now_ms)
 
     def finished(
         self, request: str, cost: float, usage_state: int, key_state: str, now_ms: float
     ) -> list[Action]:
-        """A run has ended."""
+        """Process the end of a run."""
         actions = self._requests.finished(request, cost, usage_state, key_state, now_ms)
-        return self._settle(actions, now_ms)
+        return self._deliver_local(actions, now_ms)
 
     def again(
         self, request: str, usage: Usage, now_ms: float, *, sent: bool
     ) -> list[Action] | None:
-        """Try a request at another endpoint; None if it may not run again."""
+        """Retry a request at another endpoint; None if it may not run again."""
         actions = self._requests.again(request, usage, now_ms, sent=sent)
-        return None if actions is None else self._settle(actions, now_ms)
+        return None if actions is None else self._deliver_local(actions, now_ms)
 
     def report(self, endpoint: str, load: LoadReport, now_ms: float) -> None:
-        """Take in an endpoint's load."""
+        """Process a load report of an endpoint."""
         self._host.report(endpoint, load, now_ms)
 
     def dispatch(self, now_ms: float) -> list[Action]:
-        """Grant what can be granted; called once after a batch of events."""
-        return self._settle(list(self._host.dispatch(now_ms)), now_ms)
+        """Grant free slots; called once after a batch of events."""
+        return self._deliver_local(list(self._host.dispatch(now_ms)), now_ms)
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Do what time alone calls for; wanted every 20 to 50 ms."""
+        """Run time-based work; expected every 20 to 50 ms."""
         actions: list[Action] = []
         if now_ms - self._ticked_ms > PAUSE_MS:
-            # The process was stopped or starved: others have taken its shards over, and grants
-            # made from its old state would be made twice.
+            # The process was stopped or starved. Other routers have taken over its shards, and
+            # grants from its outdated state would be issued twice.
             self._counts["paused"] += 1
             self._host.step_down()
         self._ticked_ms = now_ms
         actions.extend(self._membership.tick(now_ms))
-        actions.extend(self._bury(now_ms))
+        actions.extend(self._handle_dead_members(now_ms))
         actions.extend(self._host.tick(now_ms))
         actions.extend(self._requests.tick(now_ms))
-        return self._settle(actions, now_ms)
+        return self._deliver_local(actions, now_ms)
 
     def _candidates(self, order: str) -> Candidates:
-        return _Alone([self._router]) if order == LOCAL else self._membership
+        return _LocalCandidates([self._router]) if order == LOCAL else self._membership
 
-    def _settle(self, actions: list[Action], now_ms: float) -> list[Action]:
-        """Handle messages to this router itself until none are left."""
+    def _deliver_local(self, actions: list[Action], now_ms: float) -> list[Action]:
+        """Handle messages addressed to this router; return the other actions."""
         pending = deque(actions)
-        out: list[Action] = []
+        external: list[Action] = []
         while pending:
             action = pending.popleft()
             if isinstance(action, Send) and action.router == self._router:
                 pending.extend(self._handle(self._router, action.message, now_ms))
             else:
-                out.append(action)
-        return out
+                external.append(action)
+        return external
 
     def _handle(self, sender: str, message: Any, now_ms: float) -> list[Action]:
         handler = _HANDLERS.get(type(message))
@@ -264,17 +264,17 @@
             return False
         self._boots[sender] = boot
         if known is not None and boot > known:
-            self._gone(sender, known, now_ms)
+            self._handle_router_loss(sender, known, now_ms)
         return True
 
-    def _bury(self, now_ms: float) -> list[Action]:
+    def _handle_dead_members(self, now_ms: float) -> list[Action]:
         dead = {m.router for m in self._membership.members if m.state == DEAD}
-        for name in dead - self._dead:
-            self._gone(name, self._boots.get(name, 0), now_ms)
-        self._dead = dead
+        for name in dead - self._known_dead:
+            self._handle_router_loss(name, self._boots.get(name, 0), now_ms)
+        self._known_dead = dead
         return []
 
-    def _gone(self, router: str, boot: int, now_ms: float) -> None:
+    def _handle_router_loss(self, router: str, boot: int, now_ms: float) -> None:
         self._counts["router_gone"] += 1
         self._host.router_gone(router, now_ms)
         self._keeper.router_gone(request_prefix(router, boot))
@@ -343,7 +343,7 @@
         self._host.merge(message)
         return []
 
-    # As a holder of requests
+    # As the router that holds requests
 
     @handles(Grants)
     def _on_grants(self, sender: str, message: Grants, now_ms: float) -> list[Action]:
--- a/packages/core/src/tamarack_core/shard_links.py
+++ b/packages/core/src/tamarack_core/shard_links.py
@@ -1,4 +1,4 @@
-"""Which dispatchers a router follows, and what it tells a new one of its requests."""
+"""One router's links to dispatchers, and its registration with a new dispatcher."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     router
         The router's own name.
     candidates
-        The members that may dispatch, the router itself included.
+        The members that may dispatch, including this router.
     requests
-        The requests of the router's table by id.
+        Requests of the router's table by id.
     counts
-        The table's events by name.
+        Event counts of the table by name.
     """
 
     def __init__(
@@ -39,22 +39,22 @@
         self._links: dict[ShardKey, ShardLink] = {}
 
     def terms(self) -> dict[ShardKey, tuple[str, int]]:
-        """Dispatcher and term followed for each shard in use."""
+        """Current dispatcher and term of each shard in use."""
         return {shard: (link.target, link.term) for shard, link in self._links.items()}
 
     def find(self, shard: ShardKey) -> ShardLink | None:
-        """Link of a shard, None if the shard is not in use here."""
+        """Link of a shard, None if this router does not use the shard."""
         return self._links.get(shard)
 
     def get(self, shard: ShardKey) -> ShardLink:
-        """Link of a shard, a new one if there is none."""
+        """Link of a shard, created if there is none."""
         link = self._links.get(shard)
         if link is None:
             link = self._links[shard] = ShardLink(shard, self._router)
         return link
 
     def heard(self, shard: ShardKey, sender: str, term: int, now_ms: float) -> ShardLink | None:
-        """Note a dispatcher's message; None if it is not the one that is followed."""
+        """Record a dispatcher's message; None if it is not of the current dispatcher and term."""
         link = self._links.get(shard)
         if link is None or not link.heard(sender, term, now_ms):
             self._counts["stale_term"] += 1
@@ -62,14 +62,14 @@
         return link
 
     def retarget(self, link: ShardLink, now_ms: float) -> list[Action]:
-        """Turn to the preferred dispatcher; another one than before is told all."""
+        """Switch to the preferred dispatcher; register with it if it replaces another."""
         if not link.aim(self._candidates, now_ms):
             return []
         self._counts["retarget"] += 1
         return [self.registration(link, now_ms)]
 
     def registration(self, link: ShardLink, now_ms: float) -> Send:
-        """Tell a dispatcher all that is outstanding at its shard."""
+        """A registration of all outstanding requests of the shard."""
         tickets = [
             self._requests[request].ticket(now_ms)
             for request in sorted(link.waiting)
@@ -87,7 +87,7 @@
         return Send(link.target, Register(link.shard, link.term, tickets, running, counters))
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Poll the dispatchers that are due, and turn from those that are silent."""
+        """Poll dispatchers that are due, and replace silent ones."""
         actions: list[Action] = []
         for link in self._links.values():
             if not link.idle:
