--- a/packages/core/src/tamarack_core/actions.py
+++ b/packages/core/src/tamarack_core/actions.py
@@ -1,4 +1,4 @@
-"""What the core asks its surroundings to do."""
+"""Actions that the core asks its host process to perform."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Send(NamedTuple):
-    """Send a message to a peer; `address` is its zmq address, empty if known by name."""
+    """Send a message to a peer; `address` is its ZeroMQ address, empty if known by name."""
 
     router: str
     message: Any
@@ -20,15 +20,15 @@
 class Reconnect(NamedTuple):
     """Drop the connection to a peer and open a new one before the next message.
 
-    A connection can go silent for good while new ones work; without this a peer that is well
-    would be called dead.
+    A connection can fail silently while new connections work. Without a new connection a healthy
+    peer would be declared dead.
     """
 
     router: str
 
 
 class StartRun(NamedTuple):
-    """Run a request at an endpoint, for which `charged` cost units were charged."""
+    """Run a request at an endpoint; `charged` is its charge in cost units."""
 
     request: str
     endpoint: str
@@ -37,22 +37,22 @@
 
 
 class RefuseRequest(NamedTuple):
-    """End a held request without running it (again)."""
+    """Refuse a held request without running it or running it again."""
 
     request: str
     refusal: Refusal
 
 
 class FollowRequest(NamedTuple):
-    """Serve a held request with the answer of another request.
+    """Serve a held request with the response of another request.
 
     Attributes
     ----------
     holder
-        Request whose router holds the answer; empty if none does any more.
+        Request whose router holds the response; empty if none holds it any more.
     run, address
-        Where the run can be read if the holder is silent: the request id that the endpoint knows
-        it by, and the endpoint's address; empty if it cannot.
+        Request id under which the endpoint knows the run, and the endpoint's address, to read the
+        run if the holder does not answer; empty if that is not possible.
     """
 
     request: str
@@ -62,7 +62,7 @@
 
 
 class ClaimRow(NamedTuple):
-    """Claim a key that names no keeper by a row of the table service."""
+    """Claim a key without an owner by a row in the table service."""
 
     key: str
     workspace: str
@@ -79,7 +79,7 @@
 
 
 class Deliver(NamedTuple):
-    """Hand a peer's message to the task that answers it outside the core."""
+    """Pass a peer's message to the task outside the core that answers it."""
 
     sender: str
     message: AnswerQuery | AnswerPart | ChangesQuery | ChangesAnswer
--- a/packages/core/src/tamarack_core/addresses.py
+++ b/packages/core/src/tamarack_core/addresses.py
@@ -1,4 +1,4 @@
-"""Which routers a caller should use."""
+"""Selection of the routers that a caller should use."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from tamarack_core.rendezvous import ranked
 
 ADDRESS_COUNT = 3
-ROOM_FLOOR = 8
+MIN_PREFERRED_ROOM = 8  # requests; routers with less room are listed last
 
 
 def choose_addresses(
     workspace: str, members: list[MemberUpdate], count: int = ADDRESS_COUNT
 ) -> list[str]:
-    """Pick routers for a workspace, spread over failure domains.
+    """Choose routers for a workspace, spread over failure domains.
 
-    Each workspace gets other routers, so that one that floods meets few of the others' callers.
-    Routers with little room go to the end of the order.
+    Workspaces get different routers, so that a flood of one workspace affects few callers of the
+    others. Routers with little room are listed last.
     """
     alive = {m.router: m for m in members if m.state == ALIVE and m.caller_address}
     order = ranked(workspace, alive)
-    order.sort(key=lambda name: alive[name].room < ROOM_FLOOR)
+    order.sort(key=lambda name: alive[name].room < MIN_PREFERRED_ROOM)
     chosen: list[str] = []
     domains: set[str] = set()
     for name in order:
--- a/packages/core/src/tamarack_core/claim_messages.py
+++ b/packages/core/src/tamarack_core/claim_messages.py
@@ -1,4 +1,4 @@
-"""Messages about requests with an idempotency key, and about answers held elsewhere."""
+"""Messages about idempotency keys, and about responses held by other routers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @speaks_of(Owner.SENDER)
 @message(30)
 class Claim(NamedTuple):
-    """Ask a keeper whether a key may run."""
+    """Ask a key's owner whether its request may run."""
 
     key: str
     workspace: str
@@ -25,7 +25,7 @@
 @speaks_of(Owner.RECEIVER)
 @message(31)
 class ClaimAnswer(NamedTuple):
-    """A keeper's answer.
+    """A key owner's answer to a claim.
 
     Attributes
     ----------
@@ -34,9 +34,9 @@
     holder
         Request id under which the key runs or ran.
     run
-        Request id that the endpoint knows the run by.
+        Request id under which the endpoint knows the run.
     endpoint
-        Where it runs or ran, empty if that is not known.
+        Endpoint that runs or ran it, empty if unknown.
     """
 
     request: str
@@ -53,7 +53,7 @@
 @speaks_of(Owner.SENDER)
 @message(32)
 class ClaimDone(NamedTuple):
-    """The router that ran a key tells the keeper how it ended."""
+    """Report to a key's owner how its request ended."""
 
     request: str
     state: str
@@ -66,7 +66,7 @@
 @speaks_of(Owner.SENDER)
 @message(35)
 class ClaimRunning(NamedTuple):
-    """The router that runs a key tells the keeper where, so that others can find the run."""
+    """Report to a key's owner which endpoint runs its request, so that retries find the run."""
 
     request: str
     endpoint: str
@@ -78,7 +78,7 @@
 
 @message(33)
 class AnswerQuery(NamedTuple):
-    """Ask the router that holds a request for its state and answer from an offset."""
+    """Ask a request's router for its state and its response from an offset in bytes."""
 
     correlation: int
     workspace: str
@@ -88,16 +88,16 @@
 
 @message(34)
 class AnswerPart(NamedTuple):
-    """State of a request and a part of its answer.
+    """State of a request and a part of its response.
 
     Attributes
     ----------
     state
         `waiting`, `running`, `done`, `refused`, `broken`, `gone`.
     status
-        HTTP status of the answer; zero while there is none.
+        HTTP status of the response; zero while there is none.
     total
-        Bytes of the answer so far.
+        Bytes of the response so far.
     """
 
     correlation: int
--- a/packages/core/src/tamarack_core/clock.py
+++ b/packages/core/src/tamarack_core/clock.py
@@ -1,4 +1,4 @@
-"""The project's one clock type, in milliseconds."""
+"""Clocks in milliseconds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     Attributes
     ----------
     now_ms
-        Milliseconds since an arbitrary start; never goes back.
+        Milliseconds since an arbitrary start; never decreases.
     """
 
     @property
@@ -28,34 +28,34 @@
 class BootClock(Clock):
     """A clock that also runs while the instance is suspended.
 
-    A lease or a confirmation grows old while the process does not run; by the ordinary
-    monotonic clock a router that wakes up would still trust it.
+    Leases and confirmations expire while the instance is suspended. With the ordinary monotonic
+    clock a router would still trust them after it resumes.
     """
 
     @property
     def now_ms(self) -> float:
-        """Milliseconds since the instance started, with the time it was suspended."""
+        """Milliseconds since the instance booted, including suspended time."""
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) / 1e6
 
 
 class HeldClock(Clock):
-    """A clock that stands still until a test moves it."""
+    """A clock for tests that advances only on request."""
 
     def __init__(self, start_ms: float = 0.0) -> None:
         self._now_ms = start_ms
 
     @property
     def now_ms(self) -> float:
-        """The held time in milliseconds."""
+        """Current time in milliseconds."""
         return self._now_ms
 
     @property
     def wall_ms(self) -> int:
-        """The held time as a whole number."""
+        """Current time in whole milliseconds."""
         return int(self._now_ms)
 
     def advance(self, by_ms: float) -> float:
-        """Move the clock forward by `by_ms` milliseconds and return the new time."""
+        """Advance the clock by `by_ms` milliseconds and return the new time."""
         self._now_ms += by_ms
         return self._now_ms
 
--- a/packages/core/src/tamarack_core/configuration.py
+++ b/packages/core/src/tamarack_core/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: changes applied to entries, and versions."""
+"""Versioned configuration: entries, and changes applied to them."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 MAX_BATCH = 500
 
 
-class _Parts(NamedTuple):
-    """What is derived from entries; handed on to the next version as far as it stays true.
+class _DerivedData(NamedTuple):
+    """Data derived from entries; the next version reuses what a change does not affect.
 
-    A change to one entry of 19,000 would otherwise cost 100 ms on every router.
+    Without reuse, changing one entry of 19,000 would take 100 ms on every router.
     """
 
     keys: dict[str, str]
@@ -50,27 +50,27 @@
         preset: str = "",
         entries: Entries | None = None,
         *,
-        parts: _Parts | None = None,
+        parts: _DerivedData | None = None,
     ) -> None:
         self._version = version
         self._preset = preset
         self._entries = entries or {kind: {} for kind in ENTRY_TYPES}
-        self._parts = parts or _derive(self._entries, preset)
+        self._parts = parts or _build_derived(self._entries, preset)
         self._shards: dict[tuple[str, int], list[list[EndpointSpec]]] = {}
 
     @property
     def version(self) -> int:
-        """The version; rises by one with each accepted change."""
+        """The version; increases by one with each accepted change."""
         return self._version
 
     @property
     def preset(self) -> str:
-        """Name of the preset in force."""
+        """Name of the active preset."""
         return self._preset
 
     @property
     def models(self) -> dict[str, str]:
-        """Service of each model."""
+        """Service name by model."""
         return self._parts.models
 
     def entries(self, kind: str) -> dict[str, Any]:
@@ -78,16 +78,16 @@
         return self._entries[kind]
 
     def workspace_of(self, key: str) -> str | None:
-        """Workspace of a bearer key."""
+        """Workspace of a bearer key, None if unknown."""
         return self._parts.keys.get(hash_key(key))
 
     def service(self, name: str) -> ServiceEntry | None:
-        """Entry of a service."""
+        """Entry of a service, None if there is none."""
         entry: ServiceEntry | None = self._entries["service"].get(name)
         return entry
 
     def endpoint(self, name: str) -> EndpointEntry | None:
-        """Entry of an endpoint."""
+        """Entry of an endpoint, None if there is none."""
         entry: EndpointEntry | None = self._entries["endpoint"].get(name)
         return entry
 
@@ -96,12 +96,12 @@
         return self._parts.by_service.get(service, [])
 
     def deadline_ms(self, service: str) -> int:
-        """Longest time that a request of the service may take."""
+        """Maximum duration of a request of the service in milliseconds."""
         entry = self.service(service)
         return entry.get("deadline_ms", DEADLINE_MS) if entry else DEADLINE_MS
 
     def policy(self, service: str) -> DispatchPolicy:
-        """Weights and limits that a dispatcher of the service follows."""
+        """Weights and limits for dispatchers of the service."""
         preset = self._entries["preset"].get(self._preset, {})
         entry = self.service(service)
         return DispatchPolicy(
@@ -116,33 +116,33 @@
         return max(1, math.ceil(len(self.endpoints_of(service)) / shard_size))
 
     def shard_endpoints(self, shard: ShardKey, shard_size: int = SHARD_SIZE) -> list[EndpointSpec]:
-        """Endpoints of one shard; few of them move when the number of shards changes."""
+        """Endpoints of one shard; few are reassigned when the number of shards changes."""
         index = (shard.service, shard_size)
         if index not in self._shards:
-            self._shards[index] = self._divide(shard.service, shard_size)
+            self._shards[index] = self._assign_shards(shard.service, shard_size)
         shards = self._shards[index]
         return shards[shard.number] if shard.number < len(shards) else []
 
-    def _divide(self, service: str, shard_size: int) -> list[list[EndpointSpec]]:
+    def _assign_shards(self, service: str, shard_size: int) -> list[list[EndpointSpec]]:
         specs = self.endpoints_of(service)
         count = self.shard_count(service, shard_size)
         if count == 1:
             return [specs]
         names = [str(number) for number in range(count)]
         shards: list[list[EndpointSpec]] = [[] for _ in names]
-        # An even size for every shard: a small one would have few slots for as many tickets.
-        most = math.ceil(len(specs) / count)
+        # Equal shard sizes: all shards get equally many tickets, so a small one would overload.
+        capacity = math.ceil(len(specs) / count)
         for spec in specs:
             order = ranked(spec.name, names)
-            number = next(int(name) for name in order if len(shards[int(name)]) < most)
+            number = next(int(name) for name in order if len(shards[int(name)]) < capacity)
             shards[number].append(spec)
         return shards
 
     def apply(self, change: Change) -> Configuration:
-        """Return the configuration after the change that follows this version."""
+        """Return the configuration after a change; ValueError unless it is the next version."""
         if change.version != self._version + 1:
             raise ValueError(f"change {change.version} does not follow version {self._version}")
-        touched = {entry.kind for entry in _touched(change)}
+        touched = {entry.kind for entry in _changed_entries(change)}
         entries = {
             kind: dict(named) if kind in touched else named for kind, named in self._entries.items()
         }
@@ -150,7 +150,7 @@
             entries[name.kind].pop(name.name, None)
         for put in change.puts:
             entries[put.kind][put.name] = put.body
-        parts = self._next_parts(change, entries, touched)
+        parts = self._next_derived(change, entries, touched)
         after = Configuration(change.version, change.preset, entries, parts=parts)
         for index, shards in self._shards.items():
             service = index[0]
@@ -158,12 +158,12 @@
                 after._shards[index] = shards
         return after
 
-    def _next_parts(self, change: Change, entries: Entries, touched: set[str]) -> _Parts:
+    def _next_derived(self, change: Change, entries: Entries, touched: set[str]) -> _DerivedData:
         old = self._parts
         loads = self._entries["preset"].get(self._preset, {}).get("loads", {})
         new_loads = entries["preset"].get(change.preset, {}).get("loads", {})
         if "service" in touched or loads != new_loads:
-            return _derive(entries, change.preset)
+            return _build_derived(entries, change.preset)
         keys, queue_limit = old.keys, old.queue_limit
         if "workspace" in touched:
             keys = _changed_keys(keys, self._entries, entries, change)
@@ -171,10 +171,10 @@
         by_service = old.by_service
         if "endpoint" in touched:
             by_service = _changed_services(by_service, entries, change, old.models, new_loads)
-        return _Parts(keys, old.models, by_service, queue_limit)
+        return _DerivedData(keys, old.models, by_service, queue_limit)
 
     def snapshot(self) -> Snapshot:
-        """The whole configuration as one value."""
+        """The complete configuration as one value."""
         entries = [
             EntryPut(kind, name, body)
             for kind, named in self._entries.items()
@@ -193,7 +193,7 @@
     def check(
         self, puts: list[EntryPut], deletes: list[EntryName], preset: str | None = None
     ) -> list[Fault]:
-        """Find every fault of a change to this version; nothing is applied."""
+        """Return all faults of a change to this version without applying it."""
         faults = []
         if len(puts) + len(deletes) > MAX_BATCH:
             faults.append(Fault("", f"a change holds at most {MAX_BATCH} entries"))
@@ -233,11 +233,11 @@
         return faults
 
 
-def _touched(change: Change) -> list[EntryName]:
+def _changed_entries(change: Change) -> list[EntryName]:
     return [*change.deletes, *(EntryName(put.kind, put.name) for put in change.puts)]
 
 
-def _derive(entries: Entries, preset: str) -> _Parts:
+def _build_derived(entries: Entries, preset: str) -> _DerivedData:
     keys = {
         digest: name for name, body in entries["workspace"].items() for digest in body["key_hashes"]
     }
@@ -251,14 +251,14 @@
     for name in sorted(entries["endpoint"]):
         service, spec = _spec_of(name, entries, models, loads)
         by_service.setdefault(service, []).append(spec)
-    return _Parts(keys, models, by_service, _queue_limit(entries))
+    return _DerivedData(keys, models, by_service, _queue_limit(entries))
 
 
 def _spec_of(
     name: str, entries: Entries, models: dict[str, str], loads: dict[str, str]
 ) -> tuple[str, EndpointSpec]:
     body = entries["endpoint"][name]
-    # An engine belongs to the service whose model the preset in force has it load.
+    # An engine belongs to the service of the model that the active preset assigns to it.
     service = models.get(loads.get(name, ""), body["service"])
     spec = EndpointSpec(
         name,
@@ -280,7 +280,7 @@
     keys: dict[str, str], before: Entries, after: Entries, change: Change
 ) -> dict[str, str]:
     changed = dict(keys)
-    names = [entry.name for entry in _touched(change) if entry.kind == "workspace"]
+    names = [entry.name for entry in _changed_entries(change) if entry.kind == "workspace"]
     for name in names:
         for digest in before["workspace"].get(name, {}).get("key_hashes", []):
             changed.pop(digest, None)
@@ -297,16 +297,16 @@
     models: dict[str, str],
     loads: dict[str, str],
 ) -> dict[str, list[EndpointSpec]]:
-    names = {entry.name for entry in _touched(change) if entry.kind == "endpoint"}
+    names = {entry.name for entry in _changed_entries(change) if entry.kind == "endpoint"}
     changed = {}
     for service, specs in by_service.items():
-        kept = [spec for spec in specs if spec.name not in names]
-        changed[service] = specs if len(kept) == len(specs) else kept
-    grown = set()
+        remaining = [spec for spec in specs if spec.name not in names]
+        changed[service] = specs if len(remaining) == len(specs) else remaining
+    extended = set()
     for name in sorted(names & entries["endpoint"].keys()):
         service, spec = _spec_of(name, entries, models, loads)
         changed[service] = [*changed.get(service, []), spec]
-        grown.add(service)
-    for service in grown:
+        extended.add(service)
+    for service in extended:
         changed[service].sort(key=lambda spec: spec.name)
     return changed
--- a/packages/core/src/tamarack_core/configuration_entries.py
+++ b/packages/core/src/tamarack_core/configuration_entries.py
@@ -1,6 +1,6 @@
-"""Entries of the configuration: their fields, how they change, and what is wrong with one."""
+"""Configuration entries: fields, changes and validation."""
 
-# TypedDict reads NotRequired from evaluated annotations only, so they are not deferred here.
+# TypedDict detects NotRequired only in evaluated annotations, so they are not deferred here.
 import hashlib
 from typing import Any, NamedTuple, NotRequired, TypedDict, get_type_hints
 
@@ -11,7 +11,7 @@
 
 
 class WorkspaceEntry(TypedDict):
-    """A workspace: hashes of its keys, and how many of its requests may wait."""
+    """A workspace: hashes of its keys, and the maximum number of waiting requests."""
 
     key_hashes: list[str]
     queue_limit: NotRequired[int]
@@ -20,9 +20,10 @@
 class ServiceEntry(TypedDict):
     """A service: `kind` is `model` or `plain`.
 
-    `repeatable` lists operations that may run more than once, as `METHOD /path`. A model is
-    called by `model`, the service's name if not set. Costs of models are tokens, prompt tokens
-    counted `prompt_weight` times; costs of plain services are milliseconds.
+    `repeatable` lists operations that may run more than once, as `METHOD /path`. Callers select a
+    model service by `model`, which defaults to the service's name. Costs of model services are
+    tokens, with prompt tokens multiplied by `prompt_weight`; costs of plain services are
+    milliseconds.
     """
 
     kind: str
@@ -35,7 +36,7 @@
 
 
 class PresetEntry(TypedDict):
-    """A preset: weights per workspace, and what engines are to load (endpoint to model)."""
+    """A preset: weights per workspace, and the model that each engine loads, by endpoint."""
 
     weights: NotRequired[dict[str, float]]
     default_weight: NotRequired[float]
@@ -43,7 +44,7 @@
 
 
 class EndpointEntry(TypedDict):
-    """An endpoint of a service, with the slots that it starts from."""
+    """An endpoint of a service, with its initial number of slots."""
 
     service: str
     address: str
@@ -62,7 +63,7 @@
 
 
 class EntryPut(NamedTuple):
-    """An entry to write whole."""
+    """An entry to write, replacing all its fields."""
 
     kind: str
     name: str
@@ -77,7 +78,7 @@
 
 
 class Change(NamedTuple):
-    """One accepted change; `preset` is the one in force after it."""
+    """One accepted change; `preset` is the active preset after it."""
 
     version: int
     id: str
@@ -89,14 +90,14 @@
 
 
 class Fault(NamedTuple):
-    """What is wrong with a change, and where."""
+    """A validation error of a change, and the path of the faulty field."""
 
     path: str
     message: str
 
 
 class Snapshot(NamedTuple):
-    """The whole configuration at one version."""
+    """The complete configuration at one version."""
 
     version: int
     preset: str
@@ -104,12 +105,12 @@
 
 
 def hash_key(key: str) -> str:
-    """Digest under which a workspace's key is stored."""
+    """Digest (SHA-256, hexadecimal) under which a workspace's key is stored."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def check_entry(put: EntryPut) -> list[Fault]:
-    """Faults of one entry, by themselves."""
+    """Faults of one entry, without references to other entries."""
     base = f"{put.kind}/{put.name}"
     entry_type = ENTRY_TYPES.get(put.kind)
     if entry_type is None:
