--- a/packages/core/src/tamarack_core/__init__.py
+++ b/packages/core/src/tamarack_core/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the router fleet, free of sockets, threads, files and wall clocks."""
+"""Decision logic of the router fleet, without sockets, threads, files or wall clocks."""
--- a/packages/core/src/tamarack_core/dispatch_messages.py
+++ b/packages/core/src/tamarack_core/dispatch_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which routers hand a shard's slots out: tickets, grants, usage and polls."""
+"""Messages between routers and dispatchers: tickets, grants, usage and polls."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 
 class ShardKey(NamedTuple):
-    """One shard of a service's endpoints."""
+    """Identifies one shard of a service's endpoints."""
 
     service: str
     number: int
 
 
 class Ticket(NamedTuple):
-    """A request that waits for a slot; its body stays with the router that holds it.
+    """A request that waits for a slot; its body stays at the router that holds it.
 
     Attributes
     ----------
     request
-        Request id, unique over the fleet.
+        Request id, unique in the fleet.
     priority
         Order inside the workspace; lower goes first.
     deadline_ms
-        Milliseconds left when sent.
+        Milliseconds left when the message is sent.
     hint
         Expected cost in cost units; zero if unknown.
     prefix
-        Digest of the prompt's start; zero if there is none.
+        Digest of the prompt's prefix; zero if there is none.
     waited_ms
         Milliseconds that the ticket has already waited elsewhere.
     exclude
@@ -46,7 +46,7 @@
 
 
 class RunningGrant(NamedTuple):
-    """A grant in use, as told to a new dispatcher."""
+    """A grant in use, as registered with a new dispatcher."""
 
     request: str
     workspace: str
@@ -73,7 +73,7 @@
 @speaks_of(Owner.SENDER)
 @message(11)
 class CancelTickets(NamedTuple):
-    """Requests that no longer wait."""
+    """Cancelled requests."""
 
     shard: ShardKey
     requests: list[str]
@@ -94,7 +94,7 @@
 @speaks_of(Owner.RECEIVER)
 @message(12)
 class Grants(NamedTuple):
-    """Grants of one dispatcher's term, with counters of the workspaces granted."""
+    """Grants of one term, with the counters of the granted workspaces."""
 
     shard: ShardKey
     term: int
@@ -117,7 +117,7 @@
 @speaks_of(Owner.RECEIVER)
 @message(13)
 class RefuseTickets(NamedTuple):
-    """Tickets that a dispatcher gives back ungranted."""
+    """Tickets that a dispatcher refuses."""
 
     shard: ShardKey
     term: int
@@ -138,7 +138,7 @@
     cost
         Cost units: weighted tokens for models, milliseconds for plain services.
     state
-        0 running, 1 finished, 2 endpoint failed, 3 returned without running, 4 could not connect.
+        0 running, 1 finished, 2 endpoint failed, 3 returned without running, 4 connection failed.
     """
 
     request: str
@@ -168,7 +168,7 @@
 
 @message(15)
 class Poll(NamedTuple):
-    """A router's check that its dispatcher lives and agrees on what is outstanding."""
+    """A router's check that its dispatcher is alive and agrees on the outstanding requests."""
 
     shard: ShardKey
     term: int
@@ -187,7 +187,7 @@
 
 @message(20)
 class Probe(NamedTuple):
-    """A dispatcher's check that a router which holds many of its grants lives."""
+    """A dispatcher's check that a router which holds grants is alive."""
 
     shard: ShardKey
     term: int
@@ -196,7 +196,7 @@
 @speaks_of(Owner.SENDER)
 @message(17)
 class Register(NamedTuple):
-    """All that a router has outstanding at a shard; replaces what was known of it."""
+    """All outstanding requests of a router at a shard; replaces the dispatcher's state of it."""
 
     shard: ShardKey
     term: int
@@ -214,7 +214,7 @@
 
 @message(18)
 class TermStart(NamedTuple):
-    """A dispatcher begins a term and asks for registrations."""
+    """A dispatcher starts a term and requests registrations."""
 
     shard: ShardKey
     term: int
@@ -222,7 +222,7 @@
 
 @message(19)
 class ShardCounters(NamedTuple):
-    """Grow-only totals of one shard's term, normalised by weight, of backlogged workspaces."""
+    """Grow-only totals of one shard's term by active workspace, divided by weight."""
 
     shard: ShardKey
     term: int
--- a/packages/core/src/tamarack_core/dispatch_policy.py
+++ b/packages/core/src/tamarack_core/dispatch_policy.py
@@ -1,4 +1,4 @@
-"""What a dispatcher needs to know of its service's configuration."""
+"""Configuration of a service as its dispatchers use it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class DispatchPolicy(NamedTuple):
-    """What the configuration in force says of one service."""
+    """Weights, queue limit and default cost of one service."""
 
     weights: dict[str, float] = {}
     default_weight: float = 1.0
--- a/packages/core/src/tamarack_core/errors.py
+++ b/packages/core/src/tamarack_core/errors.py
@@ -1,4 +1,4 @@
-"""Error codes, and what a refusal says of the request that it refuses."""
+"""Error codes, and refusals with the outcome of the refused request."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ErrorCode(StrEnum):
-    """Codes of all refusals and faults; each stands for one cause."""
+    """Codes of all refusals and failures, one per cause."""
 
     UNAUTHENTICATED = "unauthenticated"
     FORBIDDEN = "forbidden"
@@ -64,11 +64,11 @@
     ErrorCode.INVALID_CONFIGURATION: 422,
     ErrorCode.INTERNAL: 500,
 }
-"""HTTP status of a code; one that is not listed answers 503."""
+"""HTTP status by code; the default is 503."""
 
 
 class Refusal(NamedTuple):
-    """Why a request got no answer of its own, and whether it ran.
+    """Why a request was refused, and whether it ran.
 
     Attributes
     ----------
@@ -77,9 +77,9 @@
     message
         One sentence for the caller.
     outcome
-        `not-run` only where no byte of the request can have reached an endpoint.
+        `not-run` only if no byte of the request can have reached an endpoint.
     retry_after_ms
-        When to ask again, in milliseconds; zero where asking again does not help.
+        Delay before a retry in milliseconds; zero if a retry does not help.
     """
 
     code: ErrorCode
@@ -89,5 +89,5 @@
 
     @property
     def status(self) -> int:
-        """The HTTP status that goes with the code."""
+        """HTTP status of the code."""
         return HTTP_STATUS.get(self.code, 503)
--- a/packages/core/src/tamarack_core/estimator.py
+++ b/packages/core/src/tamarack_core/estimator.py
@@ -4,17 +4,17 @@
 
 from tamarack_core.defaults import DEFAULT_COST, ESTIMATE_GAIN
 
-HINT_RUNS = 3
-TYPICAL_GAIN = 0.02
+HINT_RUNS = 3  # finished runs of a workspace after which hints are ignored
+TYPICAL_GAIN = 0.02  # weight of a new cost in the mean over all workspaces
 
 
 class Estimator:
-    """A moving estimate per workspace; before its first runs, what others' requests cost.
+    """Moving mean cost per workspace; before the first runs, the mean of all workspaces.
 
-    A hint is the most that a caller allows, so it can only lower a first estimate. One that says
-    too little gains nothing: what a run costs past its estimate is charged while it runs, and
-    after `HINT_RUNS` runs the workspace's own costs count alone. One that says too much would
-    push its own next request behind everybody's, until the first has been settled.
+    A hint is the maximum that a caller allows, so it can only lower an early estimate. A hint that
+    is too low has no benefit: cost beyond the estimate is charged during the run, and after
+    `HINT_RUNS` runs only the workspace's own costs count. Charging a hint that is too high would
+    delay the workspace's next request behind all others until the first is settled.
     """
 
     def __init__(self, default_cost: float = DEFAULT_COST) -> None:
@@ -29,7 +29,7 @@
         return min(hint, mean) if hint > 0 else mean
 
     def learn(self, workspace: str, cost: float) -> None:
-        """Take in what a finished request cost."""
+        """Add the cost of a finished request."""
         mean, runs = self._means.get(workspace, (cost, 0))
         mean += (cost - mean) * ESTIMATE_GAIN
         self._means[workspace] = (mean, runs + 1)
--- a/packages/core/src/tamarack_core/key_actions.py
+++ b/packages/core/src/tamarack_core/key_actions.py
@@ -1,4 +1,4 @@
-"""What a router tells the keeper of an idempotency key, or the table service for other keys."""
+"""Actions that claim an idempotency key and report its run to the owner or table service."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 
 def keeper_of(spec: RequestSpec) -> str:
-    """Router that keeps a request's key, empty if none does."""
+    """Router that owns a request's key, empty if the key names none."""
     token = parse_key(spec.key) if spec.key else None
     return token.router if token is not None else ""
 
 
 def claim_key(spec: RequestSpec) -> Action:
-    """Ask whether a request's key may run."""
-    keeper = keeper_of(spec)
-    if not keeper:
+    """Claim a request's key."""
+    owner = keeper_of(spec)
+    if not owner:
         return ClaimRow(spec.key, spec.workspace, spec.digest, spec.request)
-    return Send(keeper, Claim(spec.key, spec.workspace, spec.digest, spec.request))
+    return Send(owner, Claim(spec.key, spec.workspace, spec.digest, spec.request))
 
 
 def tell_running(spec: RequestSpec, endpoint: str) -> list[Action]:
-    """Tell the keeper where a key runs."""
-    keeper = keeper_of(spec)
-    return [Send(keeper, ClaimRunning(spec.request, endpoint))] if keeper else []
+    """Report to the key owner which endpoint runs the request."""
+    owner = keeper_of(spec)
+    return [Send(owner, ClaimRunning(spec.request, endpoint))] if owner else []
 
 
 def tell_done(spec: RequestSpec, state: str) -> list[Action]:
-    """Tell how a request's key ended."""
+    """Report how the run of a request's key ended."""
     if not spec.key:
         return []
-    keeper = keeper_of(spec)
-    if not keeper:
+    owner = keeper_of(spec)
+    if not owner:
         return [RowDone(spec.key, spec.workspace, state)]
-    return [Send(keeper, ClaimDone(spec.request, state))]
+    return [Send(owner, ClaimDone(spec.request, state))]
--- a/packages/core/src/tamarack_core/key_token.py
+++ b/packages/core/src/tamarack_core/key_token.py
@@ -1,8 +1,8 @@
-"""Idempotency keys that name the router which keeps them.
+"""Idempotency keys that name the router which owns them.
 
-A key reads `ROUTER~BOOT~EPOCH.UNIQUE`. The part before the dot is the token that the address
-answer hands out: the keeper's name, the start of its present life and an epoch of its clock. The
-epoch lets a keeper forget old keys and still know them for old.
+A key has the form `ROUTER~BOOT~EPOCH.UNIQUE`. The part before the dot is the token from the
+address response: the owner's name, its boot time and an epoch of its clock. The epoch lets an
+owner drop expired keys and still recognize them as expired.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class KeyToken(NamedTuple):
-    """Who keeps a key, since which start, and when the token was made.
+    """Owner of a key, its incarnation, and the time of the token.
 
     Attributes
     ----------
     boot
-        Start of the keeper's life in milliseconds since the Unix epoch.
+        Boot time of the owner in milliseconds since the Unix epoch.
     epoch
-        Minutes between that start and the making of the token.
+        Whole minutes between the boot and the creation of the token.
     """
 
     router: str
@@ -30,12 +30,12 @@
 
     @property
     def text(self) -> str:
-        """The token as callers see it."""
+        """The token as sent to callers."""
         return f"{self.router}~{self.boot}~{self.epoch}"
 
 
 def parse_key(key: str) -> KeyToken | None:
-    """Read the token out of a key; None if the key names no keeper."""
+    """Parse the token of a key; None if the key names no owner."""
     token, dot, unique = key.partition(".")
     parts = token.split("~")
     if not dot or not unique or len(parts) != 3:
--- a/packages/core/src/tamarack_core/order_lease.py
+++ b/packages/core/src/tamarack_core/order_lease.py
@@ -1,4 +1,4 @@
-"""The lease of the one router that gives orders to engines, without a shared clock."""
+"""Lease of the one router that sends orders to engines, without a shared clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LeaseRow(NamedTuple):
-    """The lease row as read; `version` is the row's, zero where there is none."""
+    """The lease row as read; `version` is zero if there is no row."""
 
     holder: str
     fence: int
@@ -18,19 +18,19 @@
 
 
 class LeaseStep(NamedTuple):
-    """A row to write on the condition that the row still has this version."""
+    """A row to write if the stored row still has version `if_version`."""
 
     row: LeaseRow
     if_version: int
 
 
 class OrderLease:
-    """One router's view of the lease.
+    """One router's local view of the lease.
 
-    The holder counts its lease from the moment *before* it sent the write that renewed it, on its
-    own monotonic clock. Another takes the lease only after it has seen the row unchanged for a
-    whole lease and for the longest order besides. So no order of an old holder can be on its way
-    when the first order of a new one is sent, even to endpoints that check no fencing number.
+    The holder measures its lease on its own monotonic clock from *before* it sends the renewing
+    write. Another router takes the lease only after it has seen the row unchanged for the lease
+    duration plus the longest order. No order of an old holder can therefore be in flight when a
+    new holder sends its first one, even to endpoints that check no fencing number.
     """
 
     def __init__(
@@ -40,49 +40,49 @@
         self._lease_ms = lease_ms
         self._longest_order_ms = longest_order_ms
         self._row: LeaseRow | None = None
-        self._seen_since_ms = 0.0
+        self._unchanged_since_ms = 0.0
         self._valid_until_ms = float("-inf")
         self._renewed_ms = float("-inf")
         self._fence = 0
 
     @property
     def fence(self) -> int:
-        """Fencing number of orders sent under the lease; rises with each holder."""
+        """Fencing number of orders sent under the lease; increases with each holder."""
         return self._fence
 
     def may_send(self, now_ms: float) -> bool:
-        """Whether an order sent now ends, at its timeout, before the lease does."""
+        """Whether an order sent now times out before the lease expires."""
         return now_ms + self._longest_order_ms < self._valid_until_ms
 
     def observe(self, row: LeaseRow | None, now_ms: float) -> None:
-        """Take in the row as read from the table service."""
+        """Process the row as read from the table service."""
         row = row or LeaseRow("", 0, 0)
         if self._row is None or row.version != self._row.version:
-            self._seen_since_ms = now_ms
+            self._unchanged_since_ms = now_ms
         self._row = row
 
     def next_step(self, now_ms: float) -> LeaseStep | None:
-        """The row to write now to take or renew the lease, None if there is nothing to do."""
+        """The row to write now to acquire or renew the lease, None if there is nothing to do."""
         row = self._row
         if row is None:
             return None
-        mine = row.holder == self._router and row.fence == self._fence and self._fence > 0
-        if mine and now_ms < self._valid_until_ms:
+        is_holder = row.holder == self._router and row.fence == self._fence and self._fence > 0
+        if is_holder and now_ms < self._valid_until_ms:
             if now_ms - self._renewed_ms < RENEW_EVERY_MS:
                 return None
             return LeaseStep(row, row.version)
-        free = row.version == 0 or not row.holder
-        unchanged_ms = now_ms - self._seen_since_ms
-        if free or unchanged_ms >= self._lease_ms + self._longest_order_ms:
+        vacant = row.version == 0 or not row.holder
+        unchanged_ms = now_ms - self._unchanged_since_ms
+        if vacant or unchanged_ms >= self._lease_ms + self._longest_order_ms:
             return LeaseStep(LeaseRow(self._router, row.fence + 1, 0), row.version)
         return None
 
     def written(self, step: LeaseStep, sent_ms: float) -> None:
-        """The step's write took effect; it was sent at `sent_ms`."""
+        """Record that the step's write, sent at `sent_ms`, was applied."""
         self._fence = step.row.fence
         self._valid_until_ms = sent_ms + self._lease_ms
         self._renewed_ms = sent_ms
 
     def give_up(self) -> None:
-        """Hold the lease no longer, as after a write that failed or is not known."""
+        """Stop using the lease, such as after a write that failed or has an unknown outcome."""
         self._valid_until_ms = float("-inf")
--- a/packages/core/src/tamarack_core/order_planner.py
+++ b/packages/core/src/tamarack_core/order_planner.py
@@ -1,4 +1,4 @@
-"""Which orders bring engines to the state that the preset in force wants."""
+"""Plans the orders that bring engines to the state required by the active preset."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Observed(NamedTuple):
-    """An engine as it last told of itself; `ok` is false where it did not answer."""
+    """Last reported state of an engine; `ok` is false if it did not answer."""
 
     ok: bool
     model: str = ""
@@ -21,14 +21,14 @@
 
 
 class Order(NamedTuple):
-    """One order. It states a wanted state, so that a repeated one does no harm.
+    """One order to an engine. It names the desired state, so that repeats are idempotent.
 
     Attributes
     ----------
     accepting
-        Whether the engine is to take new requests.
+        Whether the engine should accept new requests.
     model
-        Model to load; empty to leave it.
+        Model to load; empty to keep the loaded model.
     """
 
     endpoint: str
@@ -37,7 +37,7 @@
 
 
 def wanted_models(config: Configuration) -> dict[str, str]:
-    """Model that each engine is to have loaded in the preset in force."""
+    """Model that each engine should have loaded under the active preset."""
     wanted = {}
     for service, entry in sorted(config.entries("service").items()):
         if entry["kind"] != "model":
@@ -48,10 +48,10 @@
 
 
 def plan_orders(config: Configuration, observed: dict[str, Observed]) -> list[Order]:
-    """Orders to send now: drain, then load, then accept, few engines of a service at once.
+    """Orders to send now: drain, load, accept; few engines of a service at the same time.
 
-    Nothing is remembered between calls: the state is read back and compared each time, so a lost
-    answer, a new orderer and a restarted engine all come right.
+    The planner is stateless: it compares the observed state with the desired one in each call, so
+    it recovers from a lost answer, a new lease holder and a restarted engine.
     """
     wanted = wanted_models(config)
     services = {
@@ -70,8 +70,8 @@
                 orders.append(Order(endpoint, True))
             continue
         if state.accepting:
-            # The engine still serves its old service; taking it out counts against that one,
-            # and against the new one, whose loads would otherwise all queue at the weight store.
+            # Draining counts against the old service, which the engine still serves, and against
+            # the new one, whose model loads would otherwise all queue at the weight store.
             involved = {services[endpoint], config.models.get(state.model, "")}
             if any(busy[name] >= _limit(config, name) for name in involved if name):
                 continue
--- a/packages/core/src/tamarack_core/protocol.py
+++ b/packages/core/src/tamarack_core/protocol.py
@@ -1,4 +1,4 @@
-"""Messages by which routers tell who is there and which configuration is in force."""
+"""Peer messages about membership and configuration versions."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class MemberUpdate(NamedTuple):
-    """What is known of one router; spread on the back of probes.
+    """State of one router; piggybacked on probes.
 
     Attributes
     ----------
     state
         0 alive, 1 leaving, 2 suspect, 3 dead.
     room
-        Requests that the router can still take.
+        Number of requests that the router can still accept.
     """
 
     router: str
@@ -32,7 +32,7 @@
 
 @message(1)
 class Ping(NamedTuple):
-    """Probe of a member; `target` names whom the sender means to reach."""
+    """Probe of a member; `target` names the intended receiver, empty if unknown."""
 
     sequence: int
     target: str
@@ -49,7 +49,7 @@
 
 @message(3)
 class PingRequest(NamedTuple):
-    """Request to probe `target` on the sender's behalf."""
+    """Request to probe `target` on behalf of the sender."""
 
     sequence: int
     target: str
@@ -58,7 +58,7 @@
 
 @message(4)
 class PingRelayed(NamedTuple):
-    """Report that a probe made on another's behalf was answered."""
+    """Report that a probe on behalf of the receiver was answered."""
 
     sequence: int
     target: str
@@ -76,7 +76,7 @@
 
 @message(41)
 class ChangesAnswer(NamedTuple):
-    """Encoded changes in order of version, without gaps, as far as the peer has them."""
+    """Consecutive encoded changes, as far as the peer has them, and its highest known version."""
 
     head: int
     changes: list[bytes]
--- a/packages/core/src/tamarack_core/queue_policy.py
+++ b/packages/core/src/tamarack_core/queue_policy.py
@@ -1,4 +1,4 @@
-"""Orders of service, by name; the ones beside `fair` are baselines to measure against."""
+"""Orders of service by name; all except `fair` are baselines for comparison."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def queue_policy(name: str) -> Callable[[Q], Q]:
-    """Enter a queue into the registry of orders of service."""
+    """Register a queue class as an order of service."""
 
     def register(cls: Q) -> Q:
         QUEUES[name] = cls
@@ -26,13 +26,13 @@
 
 
 QUEUES[FAIR] = FairQueue
-# Each router alone, with its part of the slots; the order of service is fair on each of them.
+# Each router dispatches its own requests with a part of the slots, in fair order.
 QUEUES[LOCAL] = FairQueue
 
 
 @queue_policy(FCFS)
 class ArrivalQueue(FairQueue):
-    """First come, first served, over all workspaces."""
+    """First come, first served across all workspaces."""
 
     def _lowest(self) -> str | None:
         oldest: tuple[float, str] | None = None
@@ -44,12 +44,12 @@
 
 
 def slots_of(router: str, routers: list[str], slots: int, first: int) -> int:
-    """Slots of one endpoint that belong to a router when each router is alone.
+    """Slots of one endpoint that a router may use under the `local` order.
 
     Parameters
     ----------
     first
-        Number of the endpoint's first slot, counted over all endpoints.
+        Index of the endpoint's first slot, counted over all endpoints.
     """
     order = sorted(routers)
     rank = order.index(router)
--- a/packages/core/src/tamarack_core/refusals.py
+++ b/packages/core/src/tamarack_core/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of requests before they run, in words for their callers."""
+"""Refusals of requests before they run, with messages for callers."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def claim_refusal(state: str, *, first: bool) -> Refusal:
-    """The refusal that a keeper's (or the table service's) state of a key means.
+    """Refusal for the state of a key at its owner or at the table service.
 
     Parameters
     ----------
     first
-        Whether the caller says that it never sent the key before.
+        Whether the caller declares that it never sent the key before.
     """
     if state == CONFLICT:
         message = "The key was used for a request with other content."
@@ -33,7 +33,7 @@
         outcome = Outcome.NOT_RUN if first else Outcome.UNKNOWN
         return Refusal(ErrorCode.STORE_DOWN, message, outcome, RETRY_AFTER_MS)
     if first and state in ("silent", UNKNOWN):
-        # Nothing was ever sent under this key, so that a fresh one is safe.
+        # No request was sent with this key before, so a retry with a new key is safe.
         message = "The keeper of the key is gone; send the request with a fresh key."
         return Refusal(ErrorCode.KEEPER_GONE, message, Outcome.NOT_RUN, 1)
     message = "Whether the request with this key ran is not known; it will not run again."
--- a/packages/core/src/tamarack_core/remote_shards.py
+++ b/packages/core/src/tamarack_core/remote_shards.py
@@ -1,4 +1,4 @@
-"""Totals that the dispatchers of a service's other shards told."""
+"""Totals reported by the dispatchers of a service's other shards."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RemoteTotal(NamedTuple):
-    """What other shards charged one workspace, and how many of them serve it."""
+    """Net charges of one workspace at other shards, and the number of shards that report it."""
 
     workspace: str
     charged: float
@@ -17,13 +17,13 @@
 
 
 class RemoteShards:
-    """The newest totals of each other shard."""
+    """Latest totals of each other shard."""
 
     def __init__(self) -> None:
         self._counters: dict[int, ShardCounters] = {}
 
     def merge(self, message: ShardCounters) -> list[RemoteTotal]:
-        """Take in a shard's totals and sum over all; older ones of a term change nothing."""
+        """Merge totals of a shard and return the sums; older totals have no effect."""
         index = message.shard.number
         known = self._counters.get(index)
         if known is not None:
@@ -39,7 +39,7 @@
 
 
 def merge_counters(one: ShardCounters, other: ShardCounters) -> ShardCounters:
-    """Merge two readings of one shard: the newer term, or the maximum of each counter."""
+    """Merge two messages of one shard: the newer term, or the maximum of each counter."""
     if one.term != other.term:
         return one if one.term > other.term else other
     charged = dict(one.charged)
--- a/packages/core/src/tamarack_core/request_spec.py
+++ b/packages/core/src/tamarack_core/request_spec.py
@@ -1,4 +1,4 @@
-"""What the core needs to know of a request to route it."""
+"""Properties of a request that the core needs for routing."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class RequestSpec(NamedTuple):
-    """A request to be routed, without its body.
+    """A request to route, without its body.
 
     Attributes
     ----------
     key
         Idempotency key, empty if the caller sent none.
     first
-        Whether the caller says that it sends the key for the first time.
+        Whether the caller declares that it sends the key for the first time.
     digest
-        Digest of method, path and body, to tell a key used for something else.
+        Digest of method, path and body, to detect reuse of a key for another request.
     repeatable
         Whether it may run more than once.
     deadline_ms
--- a/packages/core/src/tamarack_core/retry_budget.py
+++ b/packages/core/src/tamarack_core/retry_budget.py
@@ -1,4 +1,4 @@
-"""A bound on retries as a part of all requests."""
+"""Limit on retries as a fraction of all requests."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 class RetryBudget:
     """Allows `ratio` retries per request, with a small burst.
 
-    Without it, endpoints that fail under load would get every request several times over.
+    Without a limit, endpoints that fail under load would receive each request several times.
     """
 
     def __init__(self, ratio: float = RETRY_BUDGET) -> None:
         self._ratio = ratio
-        self._left = BURST
+        self._available = BURST
 
     def earn(self) -> None:
-        """Count a request."""
-        self._left = min(BURST, self._left + self._ratio)
+        """Credit the budget for a request."""
+        self._available = min(BURST, self._available + self._ratio)
 
     def spend(self) -> bool:
-        """Take one retry; False if the budget is used up."""
-        if self._left < 1.0:
+        """Use one retry; False if the budget is exhausted."""
+        if self._available < 1.0:
             return False
-        self._left -= 1.0
+        self._available -= 1.0
         return True
--- a/packages/core/src/tamarack_core/router_accounts.py
+++ b/packages/core/src/tamarack_core/router_accounts.py
@@ -1,4 +1,4 @@
-"""What a dispatcher keeps of each router that it grants to."""
+"""A dispatcher's accounts of the routers that it grants to."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from tamarack_core.defaults import ROUTER_PROBE_MS, ROUTER_SILENCE_MS
 from tamarack_core.dispatch_messages import Poll
 
-GRANT_IN_FLIGHT_MS = 500
-PROBE_SHARE = 0.05
-FEW_PATIENCE = 5.0
+GRANT_IN_FLIGHT_MS = 500  # a grant may be in transit for this long
+MANY_GRANTS_FRACTION = 0.05  # of the slots; a router with fewer grants gets longer timeouts
+FEW_GRANTS_TIMEOUT_FACTOR = 5.0
 
 
 class SilentRouters(NamedTuple):
-    """Routers that hold grants and have not been heard of for a while.
+    """Routers that hold grants and have stopped sending messages.
 
     Attributes
     ----------
     lost
-        Silent for so long that their grants are freed.
+        Silent beyond the timeout; their grants are released.
     due
-        To be probed now.
+        Due for a probe.
     """
 
     lost: list[str]
@@ -29,68 +29,71 @@
 
 
 class RouterAccounts:
-    """Tickets and grants of each router in numbers, and when it was last heard.
+    """Numbers of tickets and grants by router, and the time of its last message.
 
     Attributes
     ----------
     waiting, running
-        Tickets that wait and grants in use by router.
+        Numbers of waiting tickets and of grants in use by router.
     """
 
     def __init__(self) -> None:
         self.waiting: Counter[str] = Counter()
         self.running: Counter[str] = Counter()
-        self._heard_ms: dict[str, float] = {}
+        self._received_ms: dict[str, float] = {}
         self._probed_ms: dict[str, float] = {}
         self._granted_ms: dict[str, float] = {}
         self._mismatched: set[str] = set()
 
     def heard(self, router: str, now_ms: float) -> None:
-        """Note a message of a router."""
-        self._heard_ms[router] = now_ms
+        """Record a message of a router."""
+        self._received_ms[router] = now_ms
 
     def granted(self, router: str, now_ms: float) -> None:
-        """Note that a waiting ticket of a router was granted."""
+        """Record that a waiting ticket of a router was granted."""
         self.waiting[router] -= 1
         self._granted_ms[router] = now_ms
 
     def differs_again(self, router: str, message: Poll, now_ms: float) -> bool:
-        """Whether a router's own numbers differ from these for the second time running."""
+        """Whether a router's numbers differ from these in two consecutive polls."""
         waiting = self.waiting[router]
         differs = waiting + self.running[router] != message.waiting + message.running
         if now_ms - self._granted_ms.get(router, float("-inf")) > GRANT_IN_FLIGHT_MS:
             differs = differs or waiting != message.waiting
-        again = differs and router in self._mismatched
-        if differs and not again:
+        repeated = differs and router in self._mismatched
+        if differs and not repeated:
             self._mismatched.add(router)
         else:
             self._mismatched.discard(router)
-        return again
+        return repeated
 
     def cleared(self, router: str) -> None:
-        """Note that all tickets of a router were dropped."""
+        """Record that all tickets of a router were dropped."""
         self.waiting[router] = 0
         self._mismatched.discard(router)
 
     def forget(self, router: str) -> None:
-        """Forget a dead router."""
-        for by_router in (self._heard_ms, self._probed_ms, self._granted_ms):
-            by_router.pop(router, None)
+        """Remove the accounts of a dead router."""
+        for times in (self._received_ms, self._probed_ms, self._granted_ms):
+            times.pop(router, None)
         del self.waiting[router]
         del self.running[router]
 
     def silent(self, slots: int, now_ms: float) -> SilentRouters:
-        """Routers that are silent; those that hold few of the slots get more time."""
+        """Silent routers; timeouts are longer for routers that hold few of the slots."""
         silent = SilentRouters([], [])
-        many = max(1.0, slots * PROBE_SHARE)
+        many_grants = max(1.0, slots * MANY_GRANTS_FRACTION)
         for router, held in self.running.items():
-            silent_ms = now_ms - self._heard_ms.setdefault(router, now_ms)
-            patience = 1.0 if held >= many else FEW_PATIENCE
-            if held <= 0 or silent_ms < patience * ROUTER_PROBE_MS:
+            silent_ms = now_ms - self._received_ms.setdefault(router, now_ms)
+            timeout_factor = 1.0 if held >= many_grants else FEW_GRANTS_TIMEOUT_FACTOR
+            if held <= 0 or silent_ms < timeout_factor * ROUTER_PROBE_MS:
                 continue
-            if silent_ms >= patience * ROUTER_SILENCE_MS:
+            if silent_ms >= timeout_factor * ROUTER_SILENCE_MS:
                 silent.lost.append(router)
-            elif now_ms - self._probed_ms.get(router, float("-inf")) >= ROUTER_PROBE_MS * patience:
+            elif (
+                now_ms - self._probed_ms.get(router, float("-inf"))
+                >= ROUTER_PROBE_MS * timeout_factor
+            ):
                 self._probed_ms[router] = now_ms
                 silent.due.append(router)
         return silent
--- a/packages/core/src/tamarack_core/running_grants.py
+++ b/packages/core/src/tamarack_core/running_grants.py
@@ -1,4 +1,4 @@
-"""Grants in use at a dispatcher, and the endpoints' slots that they hold."""
+"""Grants in use at a dispatcher, and the endpoint slots that they occupy."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class RunningGrants:
-    """Grants in use by request; each holds one slot of its endpoint.
+    """Grants in use by request; each occupies one slot of its endpoint.
 
     Parameters
     ----------
     pool
         The shard's endpoints.
     routers
-        Where grants are counted by router.
+        Accounts that count grants by router.
     """
 
     def __init__(self, pool: EndpointPool, routers: RouterAccounts) -> None:
@@ -50,7 +50,7 @@
         return self._grants.get(request)
 
     def of_workspace(self, workspace: str) -> int:
-        """Grants in use by a workspace."""
+        """Number of grants in use by a workspace."""
         return self._by_workspace[workspace]
 
     def of_router(self, router: str) -> list[Running]:
@@ -58,7 +58,7 @@
         return [grant for grant in self._grants.values() if grant.router == router]
 
     def take(self, grant: Running, prefix: int = 0) -> None:
-        """Note a grant; one that the request had before ends."""
+        """Add a grant; an earlier grant of the same request is released."""
         before = self._grants.get(grant.request)
         if before is not None:
             self.release(before, before.granted_ms)
@@ -68,11 +68,11 @@
         self._pool.take(grant.endpoint, grant.granted_ms, prefix=prefix)
 
     def charge(self, grant: Running, charged: float) -> None:
-        """Change what a grant has been charged."""
+        """Set the total charge of a grant."""
         self._grants[grant.request] = grant._replace(charged=charged)
 
     def release(self, grant: Running, now_ms: float, *, failed: bool = False) -> None:
-        """End a grant and free its slot."""
+        """Remove a grant and free its slot."""
         del self._grants[grant.request]
         self._by_workspace[grant.workspace] -= 1
         self._routers.running[grant.router] -= 1
--- a/packages/core/src/tamarack_core/tracked_request.py
+++ b/packages/core/src/tamarack_core/tracked_request.py
@@ -12,17 +12,17 @@
     Attributes
     ----------
     claim_asked
-        Keeper that was asked for the key, empty if none was.
+        Key owner that received the claim, empty if none did.
     state
         `new`, `claiming`, `waiting` or `running`.
     shards
-        Shards that have a ticket of it.
+        Shards that received a ticket of the request.
     told_cost
-        Cost up to which the dispatcher need not be told of progress.
+        Cost up to which progress need not be reported to the dispatcher.
     exclude
-        Endpoint that failed it.
+        Endpoint that failed the request.
     maybe_ran
-        Whether an earlier try may have run.
+        Whether an earlier attempt may have run.
     """
 
     def __init__(self, spec: RequestSpec, now_ms: float) -> None:
@@ -39,7 +39,7 @@
         self.maybe_ran = False
 
     def ticket(self, now_ms: float) -> Ticket:
-        """The ticket that asks for a slot, with the time left."""
+        """A ticket that requests a slot, with the remaining time until the deadline."""
         spec = self.spec
         return Ticket(
             spec.request,
@@ -53,7 +53,7 @@
         )
 
     def running_grant(self) -> RunningGrant | None:
-        """The grant in use as a new dispatcher is told of it, None if there is none."""
+        """The grant in use, for registration with a new dispatcher; None if there is none."""
         if self.grant is None:
             return None
         charged = max(self.grant.charged, self.told_cost)
--- a/packages/core/src/tamarack_core/wire.py
+++ b/packages/core/src/tamarack_core/wire.py
@@ -1,9 +1,9 @@
-"""How peer messages are written: a registry of kinds, frames, and short request ids.
+"""Encoding of peer messages: registry of message kinds, frames, and shortened request ids.
 
-A frame is msgpack: `[[kind, body], ...]`; who sent it is known from the connection. Kinds are
-numbered by a registry that the `message` decorator fills; numbers are never given twice. Request
-ids begin with the name and the start of the router that holds the request. That part is left out
-where it is the sender's or the receiver's own, which a message's `with_ids` makes possible.
+A frame is msgpack: `[[kind, body], ...]`; the connection identifies the sender. The `message`
+decorator registers the number of a kind; numbers are never reused. A request id starts with the
+name and the boot time of the router that holds the request. Messages with a `with_ids` method
+omit this prefix, since it is the sender's or the receiver's own.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def message(kind: int) -> Callable[[T], T]:
-    """Enter a NamedTuple into the registry of peer messages under `kind`."""
+    """Register a NamedTuple as a peer message of a kind; ValueError if the kind is taken."""
 
     def register(cls: T) -> T:
         if kind in _TYPES:
@@ -37,7 +37,7 @@
 
 
 class Owner(Enum):
-    """Whose requests a message speaks of."""
+    """Router whose request ids a message contains."""
 
     SENDER = 1
     RECEIVER = 2
@@ -47,7 +47,7 @@
 
 
 def speaks_of(owner: Owner) -> Callable[[T], T]:
-    """Say whose request ids a message with `with_ids` carries."""
+    """Declare whose request ids a message with `with_ids` contains."""
 
     def register(cls: T) -> T:
         _OWNERS[cls] = owner
@@ -57,7 +57,7 @@
 
 
 def request_prefix(router: str, boot: int) -> str:
-    """Beginning of the ids of all requests that a router holds in one life."""
+    """Prefix of all request ids of one incarnation of a router."""
     return f"{router}~{boot}~"
 
 
@@ -75,14 +75,14 @@
 
 
 def encode(messages: list[Any]) -> bytes:
-    """Write one frame."""
-    return _encoder.encode([(_KINDS[type(body)], _shorten(body)) for body in messages])
+    """Encode messages as one frame."""
+    return _encoder.encode([(_KINDS[type(body)], _strip_prefixes(body)) for body in messages])
 
 
 def decode(data: bytes, sender: str, boot: int, receiver_prefix: str) -> Frame | None:
-    """Read one frame; None if it is not one.
+    """Decode one frame; None if the data is malformed.
 
-    Messages of unknown kinds are left out, so that a newer router may speak to an older one.
+    Messages of unknown kinds are skipped for compatibility with newer routers.
     """
     try:
         bodies = _decoder.decode(data)
@@ -90,7 +90,7 @@
     except (msgspec.DecodeError, msgspec.ValidationError):
         return None
     prefixes = {Owner.SENDER: request_prefix(sender, boot), Owner.RECEIVER: receiver_prefix}
-    return Frame(sender, boot, [_lengthen(message, prefixes) for message in messages])
+    return Frame(sender, boot, [_restore_prefixes(message, prefixes) for message in messages])
 
 
 def _decode_body(kind: int, raw: msgspec.Raw) -> Any:
@@ -100,13 +100,13 @@
     return decoder.decode(raw)
 
 
-def _shorten(message: Any) -> Any:
+def _strip_prefixes(message: Any) -> Any:
     if type(message) not in _OWNERS:
         return message
     return message.with_ids(lambda request: request.rpartition("~")[2])
 
 
-def _lengthen(message: Any, prefixes: dict[Owner, str]) -> Any:
+def _restore_prefixes(message: Any, prefixes: dict[Owner, str]) -> Any:
     owner = _OWNERS.get(type(message))
     if owner is None:
         return message
