--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared pieces of the tests: routers' cores that pass messages in memory."""
+"""Shared fixtures: router cores that exchange messages in memory."""
 
 from __future__ import annotations
 
@@ -33,9 +33,10 @@
 
 
 class Cores:
-    """Routers' cores on one held clock; messages pass through their real encoding.
+    """Router cores on one manual clock; messages pass through the real encoding.
 
-    `cut` holds pairs of routers between which messages vanish, `frozen` routers that do nothing.
+    Messages between the (sender, receiver) pairs in `cut` are dropped. Routers in `frozen` neither
+    tick nor receive.
     """
 
     def __init__(self, names: list[str], config: Configuration, **options: int) -> None:
@@ -53,7 +54,7 @@
         self.run(1_500)
 
     def add(self, name: str, seed: int = 0) -> RouterCore:
-        """Start (or restart, cold) a router's core."""
+        """Start a router's core, or restart it without its state."""
         boot = int(self.clock.now_ms) + seed
         me = MemberUpdate(name, boot, 0, f"peer-{name}", f"caller-{name}", "a")
         core = RouterCore(me, self.clock.now_ms, seed=seed, **self._options)
@@ -63,7 +64,7 @@
         return core
 
     def perform(self, name: str, actions: list[Action]) -> None:
-        """Deliver messages until none are left; keep all other actions."""
+        """Deliver messages until none are pending; record all other actions."""
         pending = deque((name, action) for action in actions)
         while pending:
             sender, action = pending.popleft()
@@ -82,7 +83,7 @@
             pending.extend((target, reply) for reply in replies)
 
     def run(self, milliseconds: float, step_ms: float = 25.0) -> None:
-        """Move the clock on and let every router tick."""
+        """Advance the clock in steps and tick every router."""
         end = self.clock.now_ms + milliseconds
         while self.clock.now_ms < end:
             self.clock.advance(step_ms)
@@ -94,7 +95,7 @@
                 self.perform(name, actions)
 
     def take(self, name: str, kind: type) -> list[Action]:
-        """Take out the actions of one kind that a router was told to do."""
+        """Remove and return a router's recorded actions of one kind."""
         taken = [action for action in self.done[name] if isinstance(action, kind)]
         self.done[name] = [action for action in self.done[name] if not isinstance(action, kind)]
         return taken
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: changes, what is derived from them, versions that only rise."""
+"""Configuration: changes, derived data, monotonic versions."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(steps, max_size=12))
-def test_what_is_handed_on_equals_what_is_derived_anew(
+def test_reused_derived_data_equals_a_full_rebuild(
     history: list[tuple[list[EntryPut], list[EntryName], str]],
 ) -> None:
     config = Configuration()
@@ -55,14 +55,14 @@
         for service in ("n0", "n1", "n2", "n3"):
             config.shard_endpoints(ShardKey(service, 0), 1)
         config = config.apply(change)
-        anew = Configuration.restore(config.snapshot())
-        assert config.models == anew.models
+        rebuilt = Configuration.restore(config.snapshot())
+        assert config.models == rebuilt.models
         for service in ("n0", "n1", "n2", "n3"):
-            assert config.endpoints_of(service) == anew.endpoints_of(service)
+            assert config.endpoints_of(service) == rebuilt.endpoints_of(service)
             for number in range(4):
                 shard = ShardKey(service, number)
-                assert config.shard_endpoints(shard, 1) == anew.shard_endpoints(shard, 1)
-            assert config.policy(service) == anew.policy(service)
+                assert config.shard_endpoints(shard, 1) == rebuilt.shard_endpoints(shard, 1)
+            assert config.policy(service) == rebuilt.policy(service)
 
 
 def change(version: int) -> bytes:
@@ -71,7 +71,7 @@
 
 
 @given(st.lists(st.lists(st.integers(1, 12), max_size=6), max_size=20))
-def test_a_version_only_ever_rises_whatever_comes_in_whatever_order(
+def test_a_version_never_decreases_for_any_order_of_changes(
     batches: list[list[int]],
 ) -> None:
     follower = ConfigFollower()
@@ -83,9 +83,9 @@
 
 
 def test_a_cold_router_is_not_ready_from_an_old_snapshot_alone() -> None:
-    # Symptom: an accepted change is out of force on one router after its replacement.
-    # Sequence: the router starts cold, reads a snapshot, and the store goes down.
-    # Cause: a snapshot is old by nature; only the head of the store or of a peer tells how old.
+    # A replaced router must not revert an accepted change: it starts cold, loads a snapshot, and
+    # the store becomes unavailable. Only the head version of the store or of a peer shows how old
+    # the snapshot is.
     source = ConfigFollower()
     source.offer([change(number) for number in range(1, 6)])
     cold = ConfigFollower()
@@ -98,7 +98,7 @@
     assert cold.ready
 
 
-def test_a_router_that_is_behind_asks_another_peer_when_one_does_not_answer() -> None:
+def test_a_lagging_router_queries_another_peer_after_no_answer() -> None:
     follower = ConfigFollower()
     follower.offer([change(1)])
     follower.peer_version("r2", 3)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -62,7 +62,7 @@
 @settings(max_examples=150, deadline=None)
 @given(events)
 def test_nothing_is_granted_twice_and_no_slot_is_free_while_a_ticket_waits(
-    happened: list[tuple[str, str | int, int]],
+    history: list[tuple[str, str | int, int]],
 ) -> None:
     dispatcher = make()
     now_ms = 0.0
@@ -70,7 +70,7 @@
     running: dict[str, str] = {}
     waiting: dict[str, str] = {}
     granted: set[str] = set()
-    for kind, first, second in happened:
+    for kind, first, second in history:
         now_ms += 10.0
         if kind == "submit":
             number += 1
@@ -91,9 +91,9 @@
             dispatcher.poll("r1", Poll(SHARD, 1, len(waiting), len(running)), now_ms)
             dispatcher.tick(now_ms)
         elif kind == "register":
-            told = [RunningGrant(r, w, "e0", 10.0) for r, w in sorted(running.items())]
+            registered = [RunningGrant(r, w, "e0", 10.0) for r, w in sorted(running.items())]
             tickets = [Ticket(r, w) for r, w in sorted(waiting.items())]
-            dispatcher.register("r1", Register(SHARD, 1, tickets, told, {}), now_ms)
+            dispatcher.register("r1", Register(SHARD, 1, tickets, registered, {}), now_ms)
         for request, _ in grants_of(dispatcher, now_ms):
             assert request in waiting and request not in granted
             granted.add(request)
@@ -103,10 +103,10 @@
         assert not (dispatcher.pool.has_free and waiting)
 
 
-def test_a_run_that_passes_its_estimate_is_charged_while_it_goes_on() -> None:
-    # Symptom: a workspace that always says "small" gets several times its share.
-    # Sequence: its requests run for long; the charge at the grant was small.
-    # Cause: charged only at the end, long runs are not felt until then.
+def test_cost_beyond_the_estimate_is_charged_during_the_run() -> None:
+    # A workspace with hints that are always too low must not get several times its share. If the
+    # cost beyond the small charge at the grant were charged only at the end, its long runs would
+    # not count until then.
     dispatcher = make(slots=1, endpoints=2)
     dispatcher.submit("r1", [Ticket("l1", "liar", hint=1), Ticket("h1", "honest")], 0.0)
     assert len(grants_of(dispatcher, 0.0)) == 2
@@ -118,9 +118,9 @@
 
 
 def test_a_first_request_is_charged_like_others_whatever_its_hint_allows() -> None:
-    # Symptom: a small workspace's second request waits for two seconds beside a flood.
-    # Sequence: its first requests allow 1,000 tokens and need 30; others need 60.
-    # Cause: the whole allowance was charged until the first request had been settled.
+    # The second request of a small workspace must not wait for two seconds during a flood. Its
+    # first requests allow 1,000 tokens and need 30, others need 60. The full allowance was charged
+    # until the first request was settled.
     estimator = Estimator(200.0)
     for _ in range(300):
         estimator.learn("busy", 60.0)
@@ -150,10 +150,9 @@
 
 
 def test_a_burst_after_idleness_is_not_refused() -> None:
-    # Symptom: of 128 streams that arrive at once some are refused for their deadline, though
-    # slots are free.
-    # Sequence: a workspace asks now and then; later it sends many requests together.
-    # Cause: the time between its requests was taken for the time that a grant takes.
+    # No stream of a burst of 128 may be refused for its deadline while slots are free. The
+    # workspace sends single requests first, and the time between them was counted as the time
+    # between grants under load.
     dispatcher = make(slots=100, endpoints=2)
     for number in range(20):
         now_ms = number * 5_000.0
@@ -165,7 +164,7 @@
     assert len(grants_of(dispatcher, 200_000.0)) == 128
 
 
-def test_a_ticket_that_cannot_make_its_deadline_is_refused_at_once() -> None:
+def test_a_ticket_that_cannot_meet_its_deadline_is_refused_at_once() -> None:
     dispatcher = make(slots=1, endpoints=1)
     dispatcher.submit("r1", [Ticket(f"q{number}", "w") for number in range(40)], 0.0)
     for number in range(20):
@@ -178,10 +177,10 @@
     assert [(r.request, r.code) for r in refused.refusals] == [("late", ErrorCode.DEADLINE)]
 
 
-def test_the_slots_of_a_silent_router_are_freed_and_taken_up_again() -> None:
-    # Symptom: slots stand idle for seconds after a router was killed, while work waits.
-    # Sequence: a router holds all slots and says nothing any more, not even when probed.
-    # Cause: its grants stay until the members call it dead, which takes seconds.
+def test_the_slots_of_a_silent_router_are_released_and_registered_again() -> None:
+    # Slots must not stay idle for seconds after a router is killed while tickets wait. The router
+    # holds all slots and does not answer probes. Membership needs seconds to declare it dead, and
+    # its grants stayed until then.
     dispatcher = make()
     dispatcher.submit("r1", [Ticket(f"q{n}", "w") for n in range(4)], 0.0)
     assert len(grants_of(dispatcher, 0.0)) == 4
@@ -191,15 +190,15 @@
     assert [send.router for send in probes] == ["r1"]
     dispatcher.tick(750.0)
     assert [request for request, _ in grants_of(dispatcher, 750.0)] == ["other"]
-    # It was only cut off: its poll differs twice, and it is asked for all that it has.
+    # The router was only partitioned: after two differing polls it is asked to register.
     poll = Poll(SHARD, 1, 0, 4)
     assert not dispatcher.poll("r1", poll, 800.0).message.resync
     answer = dispatcher.poll("r1", poll, 900.0).message
     assert isinstance(answer, PollAck) and answer.resync
 
 
-def test_a_lost_grant_is_given_again() -> None:
-    # Sequence: a grant is lost on its way; the router still waits and registers what it has.
+def test_a_lost_grant_is_issued_again() -> None:
+    # A grant is lost in transit; the router still waits and registers its ticket.
     dispatcher = make(slots=1, endpoints=1)
     dispatcher.submit("r1", [Ticket("q", "w")], 0.0)
     assert grants_of(dispatcher, 0.0)
@@ -219,7 +218,7 @@
     return pool
 
 
-def test_an_engine_that_slows_gets_less_and_later_more_again() -> None:
+def test_the_slot_limit_of_a_slow_engine_decreases_and_recovers() -> None:
     pool = pool_of(EndpointSpec("old", "", "a", 8))
     for _ in range(10):
         pool.report("old", LoadReport(True, 0, step_ms=30.0, idle_step_ms=10.0), 0.0)
@@ -229,7 +228,7 @@
     assert pool.slots == 8
 
 
-def test_a_failing_endpoint_is_closed_and_probed_back_with_one_request() -> None:
+def test_a_failing_endpoint_backs_off_and_recovers_with_one_probe() -> None:
     pool = pool_of(EndpointSpec("e", "", "a", 4))
     pool.take("e", 0.0)
     pool.release("e", 0.0, failed=True)
@@ -242,12 +241,12 @@
     assert pool.free_slots(500.0) == 4
 
 
-def test_work_that_is_not_ours_takes_slots_though_reports_lag() -> None:
-    # Sequence: after a partition another dispatcher has filled the engine.
+def test_foreign_load_occupies_slots_despite_lagging_reports() -> None:
+    # After a partition another dispatcher has filled the engine.
     pool = pool_of(EndpointSpec("e", "", "a", 4))
     pool.report("e", LoadReport(True, in_flight=3), 0.0)
     assert pool.free_slots(0.0) == 1
-    # A report of before our own releases is no reason to hold slots back.
+    # A report from before the pool's own releases must not block slots.
     pool.report("e", LoadReport(True, in_flight=0), 100.0)
     pool.take("e", 200.0)
     pool.release("e", 300.0)
@@ -275,7 +274,7 @@
     assert pool.choose(0.0) == "e"
 
 
-def test_a_prompt_goes_where_its_prefix_was_unless_that_is_much_busier() -> None:
+def test_a_prompt_prefers_the_endpoint_of_its_prefix_unless_much_busier() -> None:
     pool = pool_of(EndpointSpec("a", "", "x", 4), EndpointSpec("b", "", "x", 4))
     pool.take("b", 0.0, prefix=7)
     assert pool.choose(0.0, prefix=7) == "b"
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Fair queue: shares, returns, aging, merging."""
+"""Fair queue: shares, returns from idleness, aging, merging of counters."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
     assert abs(served["large"] / served["small"] - 2.0) < 0.05
 
 
-def test_a_workspace_that_was_idle_saves_nothing_up() -> None:
-    # Symptom: a workspace that comes back shuts all others out for minutes.
-    # Sequence: `busy` is served alone for long; `idle` returns with a counter of zero.
-    # Cause: without a lift to the lowest active counter it is owed all that it never asked for.
+def test_an_idle_workspace_accumulates_no_credit() -> None:
+    # A returning workspace must not starve the others for minutes. `busy` is served alone for a
+    # long time, then `idle` returns with a counter of zero. Without a lift to the lowest active
+    # counter it would be credited for service that it did not request.
     queue = FairQueue()
     for number in range(1_000):
         queue.push(waiting("busy", number), 0.0)
@@ -51,7 +51,7 @@
     assert abs(served["busy"] - served["idle"]) <= 20.0
 
 
-def test_priority_goes_first_but_only_for_so_long() -> None:
+def test_priority_goes_first_until_waiting_time_outweighs_it() -> None:
     queue = FairQueue()
     queue.push(waiting("a", 1, arrived_ms=0.0, priority=2), 0.0)
     queue.push(waiting("a", 2, arrived_ms=AGING_MS / 2, priority=0), 0.0)
@@ -60,7 +60,7 @@
     assert [w.ticket.request for w in order if w] == ["a-2", "a-1", "a-3"]
 
 
-def test_a_request_waits_once_however_often_it_is_pushed() -> None:
+def test_a_request_is_queued_once_even_if_pushed_again() -> None:
     queue = FairQueue()
     assert queue.push(waiting("a", 1), 0.0)
     assert not queue.push(waiting("a", 1), 0.0)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: the lease, the plan."""
+"""Orders to engines: lease and planner."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Table:
-    """One row with a version."""
+    """A table service with one versioned row."""
 
     def __init__(self) -> None:
         self.row: LeaseRow | None = None
@@ -47,10 +47,10 @@
             lease.written(step, now_ms)
 
 
-def test_a_paused_holder_sends_nothing_when_it_wakes() -> None:
-    # Symptom: an engine loads a model that the preset in force does not want.
-    # Sequence: the holder is stopped past its lease; another takes it; the first goes on.
-    # Cause: it believed in a lease that had run out while it could not look.
+def test_a_paused_holder_sends_no_order_after_it_resumes() -> None:
+    # No engine may load a model that the active preset does not assign to it. The holder is
+    # stopped until its lease expires, another router takes the lease, and the first one resumes
+    # while it still considers its lease valid.
     table = Table()
     first, second = OrderLease("r1"), OrderLease("r2")
     table.work(first, 0.0)
@@ -71,7 +71,7 @@
         st.tuples(st.sampled_from([0, 1]), st.floats(1.0, 9_000.0), st.booleans()), max_size=60
     )
 )
-def test_no_two_may_send_at_once_whatever_pauses_and_losses(
+def test_at_most_one_router_may_send_despite_pauses_and_lost_writes(
     events: list[tuple[int, float, bool]],
 ) -> None:
     table = Table()
@@ -83,7 +83,7 @@
         assert sum(lease.may_send(now_ms) for lease in leases) <= 1
 
 
-def test_engines_are_drained_then_loaded_then_let_in() -> None:
+def test_engines_are_drained_then_loaded_then_accepting() -> None:
     config = make_config({"e0": "mb"})
     fine = {f"e{n}": Observed(True, "ma") for n in range(4)}
     assert plan_orders(config, fine) == [Order("e0", False)]
@@ -102,7 +102,9 @@
     st.dictionaries(st.sampled_from(["e0", "e1", "e2", "e3"]), st.just("mb")),
     st.integers(1, 3),
 )
-def test_a_service_is_never_short_of_more_than_it_allows(loads: dict[str, str], limit: int) -> None:
+def test_unavailable_engines_stay_within_the_limit_of_a_service(
+    loads: dict[str, str], limit: int
+) -> None:
     config = make_config(loads, limit)
     engines = {f"e{n}": Observed(True, "ma") for n in range(4)}
     for _ in range(40):
@@ -115,8 +117,8 @@
     assert all(state.accepting for state in engines.values())
 
 
-def test_an_engine_that_restarted_with_its_old_model_is_put_right() -> None:
-    # Sequence: an engine is loaded, then replaced and comes up with the model of its start.
+def test_an_engine_that_restarted_with_its_old_model_is_loaded_again() -> None:
+    # An engine is loaded, then replaced, and restarts with its original model.
     config = make_config({"e0": "mb"})
     engines = {f"e{n}": Observed(True, "ma") for n in range(4)}
     engines["e0"] = Observed(True, "mb")
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -1,4 +1,4 @@
-"""Routers as processes, cut off from each other and from the store through forwarders."""
+"""Router processes, partitioned from each other and from the store by forwarders."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def wait_for(condition: Callable[[], Any]) -> None:
-    """Wait until a condition holds; the wait is bounded, never the point of a test."""
+    """Wait until a condition holds, for at most `WAIT_S` seconds."""
     deadline = time.monotonic() + WAIT_S
     while not condition():
         assert time.monotonic() < deadline, "the condition did not come to hold"
@@ -62,10 +62,10 @@
     )
 
 
-def test_both_sides_of_a_partition_serve_and_nothing_runs_twice(fleet: Fleet) -> None:
-    # Symptom: after a partition requests hang, or tankers come twice.
-    # Sequence: one router is cut off from both others, under load, and rejoins.
-    # Cause: both sides dispatch meanwhile; each request still has one router that runs it.
+def test_both_sides_of_a_partition_serve_and_no_request_runs_twice(fleet: Fleet) -> None:
+    # After a partition no request may hang or run twice. One router is partitioned from the other
+    # two under load and rejoins. Both sides dispatch in between, but each request is still run by
+    # one router only.
     alone, *others = fleet.routers
     with load_of(fleet) as load:
         wait_for(lambda: len(load.results) > 20)
@@ -84,19 +84,19 @@
     assert not verdict.broken
 
 
-def test_one_dispatcher_is_left_after_a_partition(fleet: Fleet) -> None:
+def test_one_dispatcher_remains_after_a_partition(fleet: Fleet) -> None:
     alone = next(iter(fleet.routers))
     with load_of(fleet):
         cut_off(fleet, alone)
         wait_for(lambda: alive(fleet, alone) == 1)
         fleet.heal()
         wait_for(lambda: all(alive(fleet, router) == 3 for router in fleet.routers))
-        # Every router that uses the shard comes to follow one dispatcher and term.
+        # All routers that use the shard converge to one dispatcher and term.
         wait_for(lambda: len({state(fleet, r)["terms"].get(SHARD, "") for r in fleet.routers}) == 1)
 
 
-def test_a_router_without_store_and_peers_refuses_and_names_others(fleet: Fleet) -> None:
-    # Sequence: one router loses the store and all other routers; it comes back by itself.
+def test_an_isolated_router_refuses_requests_and_names_other_routers(fleet: Fleet) -> None:
+    # One router loses the store and all other routers, and recovers without intervention.
     alone, *others = fleet.routers
     cut_off(fleet, alone)
     fleet.cut_store(alone)
@@ -113,7 +113,7 @@
     wait_for(lambda: http.request("GET", f"http://{metrics}/readyz").status == 200)
 
 
-def test_a_cut_off_router_catches_up_with_changes_made_meanwhile(fleet: Fleet) -> None:
+def test_an_isolated_router_catches_up_with_changes_after_it_reconnects(fleet: Fleet) -> None:
     alone, *others = fleet.routers
     cut_off(fleet, alone)
     fleet.cut_store(alone)
@@ -125,11 +125,11 @@
     wait_for(lambda: state(fleet, alone)["version"] >= version)
 
 
-def test_connections_that_went_silent_for_good_are_opened_anew(fleet: Fleet) -> None:
-    # Symptom: routers that are well call each other dead, and requests wait.
-    # Sequence: something between routers loses track of every open connection; new ones work.
-    # Cause: an open connection does not tell that it is dead; after 250 ms without an answer
-    # the connection is opened anew before the peer is suspected.
+def test_silently_broken_connections_are_reopened(fleet: Fleet) -> None:
+    # Healthy routers must not declare each other dead while requests wait. A device between the
+    # routers drops the state of all open connections, and only new connections work. A broken
+    # connection gives no error, so after 250 ms without an answer the router opens a new one
+    # before it suspects the peer.
     with load_of(fleet) as load:
         wait_for(lambda: len(load.results) > 20)
         fleet.silence_peers()
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""Encoding of peer messages, and keys."""
+"""Encoding of peer messages and of idempotency keys."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 HOLDER = request_prefix("r1", 7)
 
 
-def test_ids_are_short_on_the_wire_and_whole_at_both_ends() -> None:
+def test_request_ids_are_shortened_on_the_wire_and_restored() -> None:
     ticket = Ticket(f"{HOLDER}12", "w")
     messages = [
         SubmitTickets(SHARD, 1, [ticket]),
@@ -44,8 +44,8 @@
     assert frame is not None and frame.messages == answers
 
 
-def test_a_message_of_an_unknown_kind_is_left_out() -> None:
-    # Sequence: during a rolling replacement a newer router sends a kind that this one lacks.
+def test_a_message_of_an_unknown_kind_is_skipped() -> None:
+    # During a rolling upgrade a newer router sends a kind that this version does not know.
     poll = PollAck(SHARD, 1, False)
     data = msgspec.msgpack.encode([(9_999, ["new"]), (16, poll)])
     frame = decode(data, "r1", 7, HOLDER)
@@ -53,7 +53,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_whatever_comes_in_is_a_frame_or_none(data: bytes) -> None:
+def test_arbitrary_bytes_decode_to_a_frame_or_none(data: bytes) -> None:
     frame = decode(data, "r1", 7, HOLDER)
     assert frame is None or isinstance(frame.messages, list)
 
@@ -66,12 +66,12 @@
     assert frame is None or isinstance(frame.messages, list)
 
 
-def test_a_key_names_its_keeper() -> None:
+def test_a_key_names_its_owner() -> None:
     token = KeyToken("milano-a-r1", 1_700_000_000_000, 3)
     assert parse_key(f"{token.text}.unique") == token
 
 
 @given(st.text(max_size=80))
-def test_any_text_is_a_key_with_a_keeper_or_a_foreign_one(text: str) -> None:
+def test_any_text_parses_as_a_key_with_or_without_an_owner(text: str) -> None:
     token = parse_key(text)
     assert token is None or text.startswith(token.router)
--- a/tests/test_router_core.py
+++ b/tests/test_router_core.py
@@ -1,4 +1,4 @@
-"""Several routers' cores under failures, told as lists of events."""
+"""Several router cores under failures, as sequences of events."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         assert sorted(core.membership.usable) == ["r1", "r2", "r3"]
 
 
-def test_one_dispatcher_grants_every_slot_and_no_more(trio: Cores) -> None:
+def test_one_dispatcher_grants_exactly_the_available_slots(trio: Cores) -> None:
     for number in range(3):
         for router in ("r1", "r2", "r3"):
             submit(trio, router, number)
@@ -67,10 +67,9 @@
     assert last.request in set(requests) - started
 
 
-def test_a_dead_dispatchers_tickets_are_granted_by_the_next() -> None:
-    # Symptom: requests wait for ever though slots are free.
-    # Sequence: the dispatcher dies with tickets queued; routers hear nothing for 300 ms.
-    # Cause: its queue was only in its memory; routers register again with the next one.
+def test_the_tickets_of_a_dead_dispatcher_are_granted_by_its_successor() -> None:
+    # Requests must not wait forever while slots are free. A dispatcher dies with its queue in
+    # memory; after 300 ms without messages the routers register again with the next dispatcher.
     cores = Cores(["r1", "r2", "r3"], make_config())
     finish(cores, "r1", submit(cores, "r1", 0))
     cores.run(300)
@@ -89,10 +88,10 @@
     assert cores.cores[holder].requests.waiting == 0
 
 
-def test_a_paused_dispatcher_steps_down_when_it_wakes() -> None:
-    # Symptom: more requests run at an endpoint than it has slots, long after a pause.
-    # Sequence: the dispatcher is stopped; another takes over; the first resumes and grants on.
-    # Cause: its state is old; a clock that jumped tells it that it was away.
+def test_a_paused_dispatcher_steps_down_when_it_resumes() -> None:
+    # An endpoint must not run more requests than it has slots long after a pause. A dispatcher is
+    # stopped, another takes over, and the first resumes with outdated state. It detects the pause
+    # by a jump of its clock.
     cores = Cores(["r1", "r2", "r3"], make_config())
     submit(cores, "r1", 1)
     cores.run(300)
@@ -109,10 +108,9 @@
     dispatcher_of(cores)
 
 
-def test_a_key_runs_once_though_two_routers_ask(trio: Cores) -> None:
-    # Symptom: a tanker order is delivered twice.
-    # Sequence: the caller sends an order to r1, hears nothing, and sends it to r2 meanwhile.
-    # Cause: each router knows only its own requests; the keeper named in the key knows both.
+def test_a_key_runs_once_when_two_routers_claim_it(trio: Cores) -> None:
+    # An order must not run twice. The caller sends it to r1, gets no answer, and sends it to r2
+    # while r1 still runs it. Each router knows only its own requests; the key's owner knows both.
     token = trio.cores["r3"].token(trio.clock.now_ms).text
     first = submit(trio, "r1", 1, key=f"{token}.order", digest="d")
     submit(trio, "r2", 1, key=f"{token}.order", digest="d")
@@ -131,10 +129,9 @@
     assert refused.refusal.code == ErrorCode.KEY_CONFLICT
 
 
-def test_a_keeper_that_restarted_cold_never_lets_a_retry_run() -> None:
-    # Symptom: an order runs twice after a router was replaced.
-    # Sequence: the keeper dies with its memory and comes back under the same name.
-    # Cause: an empty memory knows no key; the key's boot tells that it is of an earlier life.
+def test_a_key_owner_that_lost_its_state_lets_no_retry_run() -> None:
+    # An order must not run twice after a router is replaced. The key's owner restarts under the
+    # same name without its records; the boot time in the key shows an earlier incarnation.
     cores = Cores(["r1", "r2", "r3"], make_config())
     token = cores.cores["r3"].token(cores.clock.now_ms).text
     submit(cores, "r1", 1, key=f"{token}.order", digest="d")
@@ -151,7 +148,7 @@
     assert refused.refusal.outcome == Outcome.UNKNOWN
 
 
-def test_a_first_attempt_with_a_dead_keeper_takes_a_fresh_key(trio: Cores) -> None:
+def test_a_first_attempt_with_a_dead_key_owner_is_refused_as_not_run(trio: Cores) -> None:
     token = trio.cores["r3"].token(trio.clock.now_ms).text
     trio.frozen.add("r3")
     submit(trio, "r1", 1, key=f"{token}.order", digest="d", first=True)
@@ -161,7 +158,7 @@
     assert refused.refusal.outcome == Outcome.NOT_RUN
 
 
-def test_a_caller_that_leaves_frees_its_ticket_and_its_key(trio: Cores) -> None:
+def test_a_caller_that_disconnects_releases_its_ticket_and_its_key(trio: Cores) -> None:
     token = trio.cores["r2"].token(trio.clock.now_ms).text
     blockers = [submit(trio, "r1", number) for number in range(4)]
     waiting = submit(trio, "r1", 9, key=f"{token}.k", digest="d")
@@ -175,7 +172,7 @@
     assert [a.request for a in trio.take("r3", StartRun)] == [again]
 
 
-def test_an_unreachable_endpoint_is_left_for_another(trio: Cores) -> None:
+def test_a_request_moves_from_an_unreachable_endpoint_to_another(trio: Cores) -> None:
     request = submit(trio, "r1", 1)
     trio.run(300)
     (start,) = trio.take("r1", StartRun)
@@ -188,10 +185,10 @@
     assert second.endpoint != start.endpoint
 
 
-def test_a_request_that_may_have_run_is_never_called_not_run(trio: Cores) -> None:
-    # Symptom: a caller repeats an order that had run, because it was told "not run".
-    # Sequence: a repeatable request fails after it was sent, waits again, and its deadline passes.
-    # Cause: the refusal spoke of the last wait only, not of the try before it.
+def test_a_request_that_may_have_run_is_never_reported_as_not_run(trio: Cores) -> None:
+    # A caller repeats an order that has run if the refusal reports `not-run`. A repeatable request
+    # fails after it was sent, is queued again, and its deadline expires. The refusal described
+    # only the last wait, not the attempt before it.
     request = submit(trio, "r1", 1, repeatable=True, deadline_ms=trio.clock.now_ms + 800)
     trio.run(300)
     trio.take("r1", StartRun)
@@ -207,7 +204,9 @@
     assert refused.refusal.outcome == Outcome.UNKNOWN
 
 
-def test_an_order_is_not_sent_again_once_a_byte_may_have_left(trio: Cores) -> None:
+def test_a_non_repeatable_request_is_not_retried_after_a_byte_may_have_been_sent(
+    trio: Cores,
+) -> None:
     request = submit(trio, "r1", 1, repeatable=False)
     trio.run(300)
     usage = Usage(request, 5.0, USAGE_UNREACHABLE)
@@ -226,10 +225,10 @@
     assert trio.take(other, StartRun)
 
 
-def test_a_retry_learns_where_the_run_can_be_read(trio: Cores) -> None:
-    # Symptom: after a router's death callers are told "unknown" though the engine has the answer.
-    # Sequence: r1 runs a keyed request and dies; the caller asks r2 with the same key.
-    # Cause: only r1 knew the endpoint; now the keeper knows it too.
+def test_a_retry_receives_the_endpoint_where_the_run_can_be_read(trio: Cores) -> None:
+    # After a router's death, callers must not get `unknown` while the engine has the response. r1
+    # runs a request with a key and dies; the caller retries at r2 with the same key. Only r1 knew
+    # the endpoint, so the key's owner records it too.
     token = trio.cores["r3"].token(trio.clock.now_ms).text
     first = submit(trio, "r1", 1, key=f"{token}.order", digest="d")
     trio.run(300)
@@ -244,7 +243,7 @@
     assert (orphan.holder, orphan.run, orphan.address) == ("", first, start.address)
 
 
-def test_a_ticket_at_two_shards_runs_once_and_the_other_grant_goes_back() -> None:
+def test_a_ticket_at_two_shards_runs_once_and_the_other_grant_is_returned() -> None:
     cores = Cores(["r1", "r2", "r3"], make_config(engines=6), shard_size=2)
     assert make_config(engines=6).shard_count("model", 2) == 3
     requests = [submit(cores, name, n) for n in range(2) for name in cores.cores]
@@ -260,10 +259,10 @@
             assert (dispatcher.running, dispatcher.waiting) == (0, 0)
 
 
-def test_a_partition_over_admits_at_most_and_heals() -> None:
-    # Symptom: after a partition requests hang, or run twice.
-    # Sequence: r1 is cut off from r2 and r3 in both directions; both sides dispatch; they rejoin.
-    # Cause: two dispatchers at once are allowed; each request still has one router that runs it.
+def test_a_partition_only_over_admits_and_heals() -> None:
+    # After a partition no request may hang or run twice. r1 is partitioned from r2 and r3 in both
+    # directions, both sides dispatch, and they rejoin. Two dispatchers at once are allowed, but
+    # each request is still run by one router only.
     cores = Cores(["r1", "r2", "r3"], make_config())
     finish(cores, "r2", submit(cores, "r2", 0))
     cores.run(300)
@@ -291,16 +290,14 @@
 
 
 @pytest.mark.parametrize("killed", [f"r{number}" for number in range(2, 9)])
-def test_a_killed_router_is_named_by_nobody_once_its_streams_are_read_elsewhere(
+def test_a_killed_router_is_not_given_out_after_its_streams_are_read_elsewhere(
     killed: str,
 ) -> None:
-    """No router gives out the address of a killed one after its streams have ended elsewhere.
+    """No router gives out the address of a killed one after its streams are read elsewhere.
 
-    Symptom: callers are told the address of a router that is gone, and meet refused connections.
-    Sequence: a router of eight is killed; a caller of it comes to r1 for its stream; r1 asks the
-    killed router for the answer in vain, and reads it at the engine after 700 ms.
-    Cause: a member was probed only in its turn, and others were told of the suspicion with the
-    probes that followed, which together took seconds.
+    Otherwise callers get connection refusals. One of eight routers is killed, and a caller of it
+    asks r1 for its stream. r1 gets no answer from the killed router and reads the stream at the
+    engine after 700 ms. Regular probes, and gossip of the suspicion with them, took seconds.
     """
     names = [f"r{number}" for number in range(1, 9)]
     cores = Cores(names, make_config())
@@ -315,7 +312,7 @@
         assert f"caller-{killed}" not in choose_addresses("large", members, count=len(names))
 
 
-def test_a_router_that_answers_is_not_suspected_for_a_doubt(trio: Cores) -> None:
+def test_an_extra_probe_does_not_suspect_a_router_that_answers(trio: Cores) -> None:
     changes = trio.cores["r1"].membership.changes
     for _ in range(40):
         trio.perform("r1", trio.cores["r1"].doubt("r2", trio.clock.now_ms))
@@ -323,15 +320,14 @@
     assert trio.cores["r1"].membership.changes == changes
 
 
-def test_a_dispatcher_whose_term_has_been_passed_begins_a_higher_one() -> None:
-    """One dispatcher is left though the preferred one's term is lower than one begun elsewhere.
+def test_a_dispatcher_with_an_outdated_term_starts_a_higher_one() -> None:
+    """One dispatcher remains even if the preferred one has a lower term than another.
 
-    Symptom: after a partition two dispatchers grant the same slots for as long as both are busy,
-    and a router's tickets wait 300 ms in vain each time that it turns to the preferred one.
-    Sequence: r1 and r3 are cut off from each other and both dispatch; r2 hears r1 begin the
-    higher term; after the heal r2 prefers r3, whose term is the lower one.
-    Cause: r3 went on in its old term, r2 took all that it said for stale, gave it up as silent,
-    turned to r1 for a while, and began again.
+    Otherwise two dispatchers grant the same slots after a partition while both are busy, and
+    tickets are delayed by 300 ms at each switch to the preferred one. r1 and r3 are partitioned
+    and both dispatch; r2 receives the start of r1's higher term. After the partition r2 prefers
+    r3, which continued its lower term: r2 ignored r3's messages as stale, avoided it as silent,
+    used r1 for a while, and repeated this.
     """
     cores = Cores(["r1", "r2", "r3"], make_config())
     finish(cores, "r2", submit(cores, "r2", 0))
@@ -352,14 +348,14 @@
     assert dispatcher_of(cores) == "r3"
 
 
-def test_a_router_cut_off_from_all_others_counts_itself_cut_off(trio: Cores) -> None:
+def test_a_router_without_reachable_members_detects_its_isolation(trio: Cores) -> None:
     trio.frozen = {"r2", "r3"}
     trio.run(6_000)
     assert trio.cores["r1"].membership.cut_off(trio.clock.now_ms)
 
 
-def test_one_way_silence_does_not_kill_a_member_that_others_reach(trio: Cores) -> None:
-    # Sequence: r1's probes of r2 vanish; r3 still reaches r2 and says so.
+def test_one_way_message_loss_does_not_remove_a_member_that_others_reach(trio: Cores) -> None:
+    # r1's probes of r2 are lost; r3 still reaches r2 and reports it.
     trio.cut = {("r1", "r2")}
     trio.run(8_000)
     assert "r2" in trio.cores["r1"].membership.usable
