--- a/packages/core/src/tamarack_core/config_follower.py
+++ b/packages/core/src/tamarack_core/config_follower.py
@@ -46,7 +46,7 @@
         self._started_ms: float | None = None
         self._ready = False
         self._queried_peer = ""
-        self._log: dict[int, bytes] = {}
+        self._recent_changes: dict[int, bytes] = {}
 
     @property
     def config(self) -> Configuration:
@@ -108,10 +108,10 @@
         """Encoded changes after a version, None if they are no longer retained."""
         if version >= self._config.version:
             return []
-        if version + 1 not in self._log:
+        if version + 1 not in self._recent_changes:
             return None
         last = min(self._config.version, version + limit)
-        return [self._log[number] for number in range(version + 1, last + 1)]
+        return [self._recent_changes[number] for number in range(version + 1, last + 1)]
 
     def next_question(self, now_ms: float, *, store_up: bool) -> AskPeer | AskStore | None:
         """The next query for missing changes, None if nothing is missing or no query is due."""
@@ -140,8 +140,8 @@
             self._ready = True
 
     def _retain(self, version: int, data: bytes) -> None:
-        self._log[version] = data
-        self._log.pop(version - RETAINED_CHANGES, None)
+        self._recent_changes[version] = data
+        self._recent_changes.pop(version - RETAINED_CHANGES, None)
 
 
 def encode_change(change: Change) -> bytes:
--- a/packages/core/src/tamarack_core/dispatcher.py
+++ b/packages/core/src/tamarack_core/dispatcher.py
@@ -209,7 +209,7 @@
         """Replace the state held for a router with the router's own registration."""
         running_requests = {grant.request for grant in message.running}
         waiting = {ticket.request for ticket in message.tickets}
-        self._drop_router(router, now_ms, keep=waiting)
+        self._drop_router(router, now_ms, queued=waiting)
         for workspace, counter in message.counters.items():
             self._queue.raise_to(workspace, counter)
         for grant in message.running:
@@ -250,7 +250,7 @@
         sends = []
         for router, refusals in expired.items():
             sends.extend(self._refuse(router, refusals))
-        return sends + self._check_routers(now_ms)
+        return sends + self._release_silent_routers(now_ms)
 
     def dispatch(self, now_ms: float) -> list[Send]:
         """Grant free slots to waiting tickets in fair-share order."""
@@ -287,10 +287,10 @@
         active = set(self._queue.backlogged) | self._running.workspaces
         charged = {}
         refunded = {}
-        for name, plus, minus in self._queue.totals():
+        for name, total_charged, total_refunded in self._queue.totals():
             if name in active:
-                charged[name] = plus
-                refunded[name] = minus
+                charged[name] = total_charged
+                refunded[name] = total_refunded
         return ShardCounters(self._shard, self._term, charged, refunded)
 
     def merge(self, message: ShardCounters) -> None:
@@ -298,7 +298,7 @@
         for name, charged, serving in self._remote.merge(message):
             self._queue.exchange(name, charged, min(self._shards, 1 + serving))
 
-    def _check_routers(self, now_ms: float) -> list[Send]:
+    def _release_silent_routers(self, now_ms: float) -> list[Send]:
         """Release the slots of routers that hold grants and stopped sending messages.
 
         Membership probing takes seconds to declare a router dead. Until then its slots would stay
@@ -384,12 +384,12 @@
             self._counts["returned"] += 1
         self._running.release(running, now_ms, failed=failed)
 
-    def _drop_router(self, router: str, now_ms: float, keep: set[str] = frozenset()) -> None:  # type: ignore[assignment]
+    def _drop_router(self, router: str, now_ms: float, queued: set[str] = frozenset()) -> None:  # type: ignore[assignment]
         for waiting in [w for w in self._queue.entries() if w.router == router]:
             self._queue.remove(waiting.ticket.request, now_ms)
         for running in self._running.of_router(router):
             fresh = now_ms - running.granted_ms < GRANT_IN_FLIGHT_MS
-            if not (fresh and running.request in keep):
+            if not (fresh and running.request in queued):
                 self._running.release(running, now_ms)
         self._routers.cleared(router)
 
--- a/packages/core/src/tamarack_core/estimator.py
+++ b/packages/core/src/tamarack_core/estimator.py
@@ -5,7 +5,7 @@
 from tamarack_core.defaults import DEFAULT_COST, ESTIMATE_GAIN
 
 HINT_RUNS = 3  # finished runs of a workspace after which hints are ignored
-TYPICAL_GAIN = 0.02  # weight of a new cost in the mean over all workspaces
+OVERALL_GAIN = 0.02  # weight of a new cost in the mean over all workspaces
 
 
 class Estimator:
@@ -18,12 +18,12 @@
     """
 
     def __init__(self, default_cost: float = DEFAULT_COST) -> None:
-        self._typical = default_cost
+        self._overall_mean = default_cost
         self._means: dict[str, tuple[float, int]] = {}
 
     def estimate(self, workspace: str, hint: float = 0.0) -> float:
         """Cost units to charge at the grant."""
-        mean, runs = self._means.get(workspace, (self._typical, 0))
+        mean, runs = self._means.get(workspace, (self._overall_mean, 0))
         if runs >= HINT_RUNS:
             return mean
         return min(hint, mean) if hint > 0 else mean
@@ -33,4 +33,4 @@
         mean, runs = self._means.get(workspace, (cost, 0))
         mean += (cost - mean) * ESTIMATE_GAIN
         self._means[workspace] = (mean, runs + 1)
-        self._typical += (cost - self._typical) * TYPICAL_GAIN
+        self._overall_mean += (cost - self._overall_mean) * OVERALL_GAIN
--- a/packages/core/src/tamarack_core/fair_queue.py
+++ b/packages/core/src/tamarack_core/fair_queue.py
@@ -120,14 +120,14 @@
         self._unit = unit
         self._flows: dict[str, _Flow] = {}
         self._heap: list[tuple[float, str]] = []
-        self._owners: dict[str, str] = {}
+        self._workspaces: dict[str, str] = {}
         self._floor = 0.0
 
     def __len__(self) -> int:
-        return len(self._owners)
+        return len(self._workspaces)
 
     def __contains__(self, request: str) -> bool:
-        return request in self._owners
+        return request in self._workspaces
 
     @property
     def backlogged(self) -> list[str]:
@@ -154,25 +154,25 @@
 
     def find(self, request: str) -> Waiting | None:
         """The waiting ticket of a request, None if there is none."""
-        workspace = self._owners.get(request)
+        workspace = self._workspaces.get(request)
         return self._flows[workspace].waiting[request] if workspace is not None else None
 
     def push(self, waiting: Waiting, now_ms: float) -> bool:
         """Add a ticket; False if its request is already queued."""
         ticket = waiting.ticket
-        if ticket.request in self._owners:
+        if ticket.request in self._workspaces:
             return False
         flow = self._flow(ticket.workspace)
         if not flow.waiting:
             self._activate(ticket.workspace, flow, now_ms)
         flow.waiting[ticket.request] = waiting
         heapq.heappush(flow.heap, (waiting.rank, ticket.request))
-        self._owners[ticket.request] = ticket.workspace
+        self._workspaces[ticket.request] = ticket.workspace
         return True
 
     def remove(self, request: str, now_ms: float) -> Waiting | None:
         """Remove a request's ticket at any position; None if there is none."""
-        workspace = self._owners.pop(request, None)
+        workspace = self._workspaces.pop(request, None)
         if workspace is None:
             return None
         flow = self._flows[workspace]
--- a/packages/core/src/tamarack_core/membership.py
+++ b/packages/core/src/tamarack_core/membership.py
@@ -66,7 +66,7 @@
         self._changes = 0
         self._updates = 0
         self._usable: list[str] = []
-        self._usable_at = -1
+        self._usable_changes = -1
 
     @property
     def me(self) -> MemberUpdate:
@@ -93,8 +93,8 @@
         """Members that may dispatch and accept new requests: alive and not leaving."""
         # Read once per ticket. At 1,600 members, building the list each time would cost more than
         # the rest of the work for a ticket, so it is cached until a state changes.
-        if self._usable_at != self._changes:
-            self._usable_at = self._changes
+        if self._usable_changes != self._changes:
+            self._usable_changes = self._changes
             self._usable = [m.router for m in self.members if m.state == ALIVE]
         return self._usable
 
--- a/packages/core/src/tamarack_core/order_planner.py
+++ b/packages/core/src/tamarack_core/order_planner.py
@@ -59,7 +59,7 @@
         for service in config.entries("service")
         for spec in config.endpoints_of(service)
     }
-    busy = _unavailable(wanted, observed, services)
+    busy = _count_unavailable(wanted, observed, services)
     orders = []
     for endpoint, model in sorted(wanted.items()):
         state = observed.get(endpoint)
@@ -73,7 +73,7 @@
             # Draining counts against the old service, which the engine still serves, and against
             # the new one, whose model loads would otherwise all queue at the weight store.
             involved = {services[endpoint], config.models.get(state.model, "")}
-            if any(busy[name] >= _limit(config, name) for name in involved if name):
+            if any(busy[name] >= _max_unavailable(config, name) for name in involved if name):
                 continue
             busy.update(name for name in involved if name)
             orders.append(Order(endpoint, False))
@@ -82,12 +82,12 @@
     return orders
 
 
-def _limit(config: Configuration, service: str) -> int:
+def _max_unavailable(config: Configuration, service: str) -> int:
     entry = config.service(service)
     return entry.get("max_unavailable", DEFAULT_MAX_UNAVAILABLE) if entry else 1
 
 
-def _unavailable(
+def _count_unavailable(
     wanted: dict[str, str], observed: dict[str, Observed], services: dict[str, str]
 ) -> Counter[str]:
     busy: Counter[str] = Counter()
--- a/packages/core/src/tamarack_core/remote_shards.py
+++ b/packages/core/src/tamarack_core/remote_shards.py
@@ -25,15 +25,15 @@
     def merge(self, message: ShardCounters) -> list[RemoteTotal]:
         """Merge totals of a shard and return the sums; older totals have no effect."""
         index = message.shard.number
-        known = self._counters.get(index)
-        if known is not None:
-            message = merge_counters(known, message)
+        previous = self._counters.get(index)
+        if previous is not None:
+            message = merge_counters(previous, message)
         self._counters[index] = message
         charged: Counter[str] = Counter()
         serving: Counter[str] = Counter()
         for counters in self._counters.values():
-            for name, plus in counters.charged.items():
-                charged[name] += plus - counters.refunded.get(name, 0.0)  # type: ignore[assignment]
+            for name, total_charged in counters.charged.items():
+                charged[name] += total_charged - counters.refunded.get(name, 0.0)  # type: ignore[assignment]
                 serving[name] += 1
         return [RemoteTotal(name, float(total), serving[name]) for name, total in charged.items()]
 
--- a/packages/core/src/tamarack_core/router_core.py
+++ b/packages/core/src/tamarack_core/router_core.py
@@ -174,7 +174,7 @@
 
     def receive(self, frame: Frame, now_ms: float) -> list[Action]:
         """Process a peer's frame."""
-        if not self._note_boot(frame.sender, frame.incarnation, now_ms):
+        if not self._check_incarnation(frame.sender, frame.incarnation, now_ms):
             return []
         actions: list[Action] = []
         self._membership.heard(frame.sender, now_ms)
@@ -257,7 +257,7 @@
             return []
         return handler(self, sender, message, now_ms)
 
-    def _note_boot(self, sender: str, boot: int, now_ms: float) -> bool:
+    def _check_incarnation(self, sender: str, boot: int, now_ms: float) -> bool:
         known = self._boots.get(sender)
         if known is not None and boot < known:
             self._counts["stale_life"] += 1
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -32,7 +32,7 @@
         self.row: LeaseRow | None = None
         self.version = 0
 
-    def work(self, lease: OrderLease, now_ms: float, *, lost: bool = False) -> None:
+    def run_once(self, lease: OrderLease, now_ms: float, *, lost: bool = False) -> None:
         lease.observe(self.row, now_ms)
         step = lease.next_step(now_ms)
         if step is None:
@@ -53,16 +53,16 @@
     # while it still considers its lease valid.
     table = Table()
     first, second = OrderLease("r1"), OrderLease("r2")
-    table.work(first, 0.0)
+    table.run_once(first, 0.0)
     assert first.may_send(100.0)
     now_ms = 100.0
     while not second.may_send(now_ms):
-        table.work(second, now_ms)
+        table.run_once(second, now_ms)
         now_ms += 100.0
     assert now_ms >= LEASE_MS + ORDER_MS
     assert not first.may_send(now_ms)
     assert second.fence == first.fence + 1
-    table.work(first, now_ms)
+    table.run_once(first, now_ms)
     assert not first.may_send(now_ms)
 
 
@@ -79,7 +79,7 @@
     now_ms = 0.0
     for actor, wait_ms, lost in events:
         now_ms += wait_ms
-        table.work(leases[actor], now_ms, lost=lost)
+        table.run_once(leases[actor], now_ms, lost=lost)
         assert sum(lease.may_send(now_ms) for lease in leases) <= 1
 
 
