--- a/packages/gateway/src/tamarack_gateway/fleet_state.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_state.py
@@ -1,4 +1,4 @@
-"""What one router believes: the configuration, the endpoints and how they do."""
+"""The local state of one router: the configuration, the endpoints and their condition."""
 
 from __future__ import annotations
 
@@ -24,48 +24,51 @@
 from tamarack_gateway.site import GatewaySettings
 from tamarack_gateway.unreadable_rows import UnreadableRows
 
-FRESH_PART = 0.6
-"""Part of the revocation bound up to which a confirmation may be old where callers are sent: 3 s of
-5. Calls of a fifth of the bound, one of them lost, keep it below, also where another router makes
-them and tells; those who come later meet keys that lapse before they are served."""
+FRESH_FRACTION = 0.6
+"""Largest age of the key confirmation, as a fraction of the revocation bound, at which callers are
+still sent to this router: 3 s of 5. Store calls that wait a fifth of the bound keep the age below
+it even if one is lost, also where another router makes them and passes the result on. Above it,
+keys could expire before a caller is served."""
 
 KEPT_PART = 0.85
-"""Part of the time for which an endpoint that leaves may get new work that a missing entry is kept
-at the longest: 1.7 s of 2. In the rest the change is told and the work sent on."""
+"""Longest time for which a missing entry is retained, as a fraction of the time for which a leaving
+endpoint may get new work: 1.7 s of 2. The rest is for the change and the work to be delivered."""
 
 ADDRESS_TTL_MS = 1_000.0
-"""Time for which callers may use an answer with addresses; some use it three times as long. A
-router that stops serves them for that time."""
+"""Time to live of the addresses that callers get; some callers use them three times as long. A
+router that stops serves callers for that time."""
 
 KEY_MARGIN_MS = 500.0
-"""Time that a key lapses before its bound: a request that is sent on just before is still on its
-way to the endpoint then, and timers fire late."""
+"""Margin by which a key expires before its revocation bound: a request forwarded just before is
+still on its way to the endpoint, and timers fire late."""
 
 
-ENDED_MS = 4_000.0
-"""Time for which an endpoint that ended gets no work though it is still listed: its entry lapses
-after three missed heartbeats of 1.2 s. Without it each router finds out by connections that are
-refused, for 0.9 to 3.6 s."""
+TERMINATED_MS = 4_000.0
+"""Time for which a terminated endpoint gets no work though it is still listed: its entry expires
+after three missed heartbeats of 1.2 s. Without it, each router's connections to it are refused for
+0.9 to 3.6 s."""
 
-ENDED_LIFELESS_MS = 1_000.0
-"""The same where entries tell no life: the next one cannot be told from the one that ended."""
+TERMINATED_UNIDENTIFIED_MS = 1_000.0
+"""The same where entries have no incarnation: a restarted endpoint cannot be told from the
+terminated one."""
 
 
 CLOSING_MS = 500.0
-"""The same where it is only known to close new connections: something before it accepts them for an
-endpoint that has ended, or it is full. Without it, what is sent meanwhile is lost there."""
+"""The same for an endpoint that accepts and then closes new connections: either it is full, or
+something in front of it accepts them for a terminated endpoint. Requests sent there meanwhile would
+be lost."""
 
 
 class FleetState:
-    """The beliefs that tasks of one router share; only the loop's thread touches them.
+    """State shared by the tasks of one router; only the event loop's thread accesses it.
 
     Attributes
     ----------
     owns
-        Tells whether a matter that one router sees to is this router's.
+        Returns whether this router owns a key; each key is handled by one router of the fleet.
     on_life_over
-        Called with a life of an endpoint that the list tells no more, and whether another one of
-        the same name has taken its place.
+        Called with an incarnation of an endpoint that is no longer listed, and whether a new
+        incarnation of the same name has replaced it.
     """
 
     def __init__(
@@ -87,7 +90,7 @@
         self.endpoints_known = False
         self.models: dict[str, EngineModel] = {}
         self.records: dict[str, EndpointRecord] = {}
-        self._lives: dict[str, int | None] = {}
+        self._incarnations: dict[str, int | None] = {}
         self.freshness = KeyFreshness(bounds.revoke_ms - KEY_MARGIN_MS)
         self.allowance = RetryAllowance(
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_ms
@@ -96,10 +99,10 @@
         self.returns = ReturnDetector()
         self.quarantine = Quarantine(lambda fingerprint: self.owns(fingerprint), quarantine)
         self.quarantine_known = False
-        self.owns: Callable[[str], bool] = _never
-        self.on_life_over: Callable[[EndpointLife, bool], None] = _nobody
-        self._ended_until_ms: dict[EndpointLife, float] = {}
-        self._ended_ms: dict[EndpointLife, float] = {}
+        self.owns: Callable[[str], bool] = _owns_nothing
+        self.on_life_over: Callable[[EndpointLife, bool], None] = _ignore
+        self._avoid_until_ms: dict[EndpointLife, float] = {}
+        self._termination_ms: dict[EndpointLife, float] = {}
         self.leaving: LeavingPlan | None = None
         self._times: dict[str, ServiceTimes] = {}
         self._first_tokens: dict[str, FirstTokenTime] = {}
@@ -114,31 +117,31 @@
 
     @property
     def informed(self) -> bool:
-        """Whether all is known that callers' requests are decided by.
+        """Whether everything that decisions about requests depend on has been read.
 
-        A router that took callers before it knows which requests are quarantined would send these
-        on, each router of a fleet that starts anew.
+        A router that accepted callers before it has read the quarantined requests would forward
+        these; in a fleet that restarts, each router would.
         """
         return self.rules is not None and self.endpoints_known and self.quarantine_known
 
     @property
     def fresh(self) -> bool:
-        """Whether keys will be trusted for a while yet."""
-        fresh_ms = self.settings.bounds.revoke_ms * FRESH_PART
+        """Whether keys remain valid long enough to send callers here."""
+        fresh_ms = self.settings.bounds.revoke_ms * FRESH_FRACTION
         return self.freshness.age_ms(self.clock.now_ms) <= fresh_ms
 
     @property
     def address_ttl_ms(self) -> float:
-        """Time to live of the answers with addresses that callers are given."""
+        """Time to live, in milliseconds, of the addresses given to callers."""
         return min(ADDRESS_TTL_MS, self.settings.bounds.address_ttl_ms)
 
     @property
     def bounds(self) -> CallerBounds:
-        """What callers may send."""
+        """Limits on what callers may send."""
         return self.rules.bounds if self.rules is not None else CallerBounds()
 
     def put_rules(self, rules: Ruleset) -> bool:
-        """Put a version in force, unless it is older than the one that is."""
+        """Put a configuration in force, unless it is older than the current one."""
         if self.rules is not None and rules.version < self.rules.version:
             return False
         if self.rules is None or rules.version != self.rules.version:
@@ -146,15 +149,15 @@
         self.rules = rules
         self.shares.keep(rules.engine_services)
         self.unreadable_rules, self.keys_known = None, True
-        self._fit_models()
+        self._resize_models()
         return True
 
     def put_unreadable_rules(self, reason: str, keys: dict[str, str] | None) -> None:
-        """Take in that the newest version cannot be read, but for its keys where these are told.
+        """Record that the newest configuration cannot be read, apart from `keys` if given.
 
-        The last good version stays in force. Keys that were taken away must open nothing all the
-        same: those of the newest version count, and where these cannot be read either, keys lapse
-        as they do when the store is away.
+        The last valid version stays in force. Revoked keys must still be rejected: the keys of the
+        newest version are used. If these cannot be read either, all keys expire as they do while
+        the store is unavailable.
         """
         self.unreadable_rules = reason
         self.keys_known = keys is not None
@@ -162,55 +165,55 @@
             self.rules = self.rules.with_keys(keys)
 
     def settle_endpoints(self) -> None:
-        """Keep models and records for just the present lives of the endpoints that there are."""
-        found = {name: self.book.find(name) for name in self.book.names}
-        for endpoint in found.values():
+        """Keep models and records for exactly the current incarnations of the listed endpoints."""
+        listed = {name: self.book.find(name) for name in self.book.names}
+        for endpoint in listed.values():
             if endpoint is not None and not self.knows(endpoint.key):
-                self._begin(endpoint)
-        for name in [name for name in self.records if name not in found]:
-            over = EndpointLife(name, self._lives[name])
-            del self.records[name], self.models[name], self._lives[name]
+                self._start_incarnation(endpoint)
+        for name in [name for name in self.records if name not in listed]:
+            over = EndpointLife(name, self._incarnations[name])
+            del self.records[name], self.models[name], self._incarnations[name]
             self.on_life_over(over, False)
-        self._fit_models()
+        self._resize_models()
 
     def knows(self, key: EndpointLife) -> bool:
-        """Whether this is the present life of an endpoint that is there."""
-        return key.name in self._lives and self._lives[key.name] == key.life
+        """Whether this is the current incarnation of a listed endpoint."""
+        return key.name in self._incarnations and self._incarnations[key.name] == key.life
 
     def model(self, key: EndpointLife) -> EngineModel | None:
-        """What is believed of an engine; None where it is not there, or has another life now.
+        """The model of an engine; None if it is not listed or has another incarnation now.
 
-        Word of one life must not change what is believed of the next: a router's message that
-        tells late of kept parts would draw requests to an engine that keeps nothing.
+        Messages about one incarnation must not affect the model of the next: a delayed message
+        about cached prefix blocks would attract requests to an engine with an empty cache.
         """
         return self.models.get(key.name) if self.knows(key) else None
 
-    def take_placements(self, told: Placements) -> None:
-        """Take in what other routers placed, and what their first events showed."""
+    def take_placements(self, placements: Placements) -> None:
+        """Apply what other routers placed, and what they observed in first events."""
         now_ms = self.clock.now_ms
-        lives, models = self._lives, self.models
-        for name, reading_ms, parts, life in told.placed:
+        lives, models = self._incarnations, self.models
+        for name, reading_ms, parts, life in placements.placed:
             if name in lives and lives[name] == life:
                 models[name].sent_elsewhere(reading_ms, now_ms)
                 if parts:
                     models[name].keep_named(parts, now_ms)
-        for name, wait_ms, pace, life in told.seen:
+        for name, wait_ms, pace, life in placements.seen:
             if name in lives and lives[name] == life:
                 models[name].seen_elsewhere(wait_ms, pace, now_ms)
-        # What is told of a service that this router does not know is not kept: it may be nonsense.
+        # Counts for services that this router does not know are dropped: they may be invalid.
         known = self.rules.engine_services if self.rules is not None else ()
-        for service, rows in told.tokens.items():
+        for service, rows in placements.tokens.items():
             if service in known:
                 shares = self.shares.of(service)
                 for workspace, asked, served in rows:
                     shares.count(workspace, asked, served, now_ms)
 
     def record(self, key: EndpointLife) -> EndpointRecord | None:
-        """How an endpoint has answered; None where it is not there, or has another life now."""
+        """The record of an endpoint's answers; None if not listed or of another incarnation."""
         return self.records.get(key.name) if self.knows(key) else None
 
     def times(self, service: str) -> ServiceTimes:
-        """How long requests of a service take; kept for as many services as there are."""
+        """Request durations of a service; entries of removed services are dropped."""
         if service not in self._times:
             known = {known.name for known in self.rules.services} if self.rules else set()
             self._times = {name: times for name, times in self._times.items() if name in known}
@@ -218,47 +221,49 @@
         return self._times[service]
 
     def tokens_per_event(self, service: str) -> int | None:
-        """Tokens that one event of a service's streams holds; None for a plain service."""
+        """Tokens per event in a service's streams; None for a plain service."""
         known = self.rules.service(service) if self.rules else None
         return known.engine.tokens_per_event if known is not None and known.engine else None
 
     def usable(self, service: str) -> list[Endpoint]:
         """Endpoints of a service that may get new work."""
         endpoints = self.book.usable(service)
-        if not self._ended_until_ms:
+        if not self._avoid_until_ms:
             return endpoints
         now_ms = self.clock.now_ms
-        until_ms = self._ended_until_ms
+        until_ms = self._avoid_until_ms
         return [e for e in endpoints if until_ms.get(e.key, 0.0) <= now_ms]
 
     def put_ended(self, key: EndpointLife, *, refused: bool) -> None:
-        """Take in that a life of an endpoint is over, though its entry may still be there.
+        """Record that an incarnation of an endpoint has terminated; it may still be listed.
 
         Parameters
         ----------
         refused
-            Whether nobody listens at its address; one that closes new connections may be full.
+            Whether connections to its address are refused. An endpoint that only closes new
+            connections may be full.
         """
         now_ms = self.clock.now_ms
-        believed_ms = ENDED_MS if key.life is not None else ENDED_LIFELESS_MS
-        until_ms = now_ms + (believed_ms if refused else CLOSING_MS)
-        kept = {k: until for k, until in self._ended_until_ms.items() if until > now_ms}
-        self._ended_until_ms = {**kept, key: max(until_ms, kept.get(key, 0.0))}
-        ends = {k: at for k, at in self._ended_ms.items() if now_ms - at < ENDED_MS}
-        self._ended_ms = {key: now_ms, **ends}
+        avoid_ms = TERMINATED_MS if key.life is not None else TERMINATED_UNIDENTIFIED_MS
+        until_ms = now_ms + (avoid_ms if refused else CLOSING_MS)
+        kept = {k: until for k, until in self._avoid_until_ms.items() if until > now_ms}
+        self._avoid_until_ms = {**kept, key: max(until_ms, kept.get(key, 0.0))}
+        ends = {k: at for k, at in self._termination_ms.items() if now_ms - at < TERMINATED_MS}
+        self._termination_ms = {key: now_ms, **ends}
 
     def ended_ms(self, key: EndpointLife) -> float | None:
-        """When this router first learned that a life is over; None where it has not lately."""
-        return self._ended_ms.get(key)
+        """When this router first learned of a termination; None if it has not recently."""
+        return self._termination_ms.get(key)
 
     def shortest_aim_ms(self, service: str, aim_ms: float) -> float:
-        """Shortest aim of all routes that share a service's engines with one of `aim_ms`."""
+        """Shortest latency target of all routes on a service's engines, including `aim_ms`."""
         return min(aim_ms, self.rules.shortest_aim_ms(service)) if self.rules else aim_ms
 
     def throughput(self, service: str) -> float:
-        """Tokens a second that a service's engines carry, as far as the configuration tells.
+        """Configured throughput of a service's engines in tokens a second.
 
-        It tells this of all engines together; each service has a part of it by its engines.
+        The configuration has one figure for all engines; each service gets a share in proportion
+        to the number of its engines.
         """
         if self.rules is None:
             return 0.0
@@ -273,21 +278,21 @@
         names = self.rules.engine_services if self.rules is not None else ()
         return [endpoint for name in names for endpoint in self.usable(name)]
 
-    def _begin(self, endpoint: Endpoint) -> None:
+    def _start_incarnation(self, endpoint: Endpoint) -> None:
         name = endpoint.name
-        if name in self._lives:
-            lives = {"life": endpoint.life, "life_before": self._lives[name]}
-            self.log.change("endpoint started again", endpoint=name, **lives)
-            self.on_life_over(EndpointLife(name, self._lives[name]), True)
-        self._lives[name] = endpoint.life
+        if name in self._incarnations:
+            lives = {"life": endpoint.life, "life_before": self._incarnations[name]}
+            self.log.change("endpoint restarted", endpoint=name, **lives)
+            self.on_life_over(EndpointLife(name, self._incarnations[name]), True)
+        self._incarnations[name] = endpoint.life
         self.records[name] = EndpointRecord()
         first_token = self._first_tokens.setdefault(endpoint.service, FirstTokenTime())
         self.models[name] = EngineModel(first_token=first_token)
 
-    def _fit_models(self) -> None:
+    def _resize_models(self) -> None:
         # An endpoint may be listed before the configuration names its service, and a later version
-        # may change what its engines hold: a model of the wrong size would take parts for kept
-        # that have yielded.
+        # may change the engines' memory size: a model of the wrong size would count prefix blocks
+        # as cached that have been evicted.
         for name, model in self.models.items():
             endpoint = self.book.find(name)
             service = self.rules.service(endpoint.service) if self.rules and endpoint else None
@@ -295,10 +300,10 @@
                 model.resize(service.engine.memory_tokens)
 
 
-def _never(matter: str) -> bool:
-    """Stands where nobody has told which matters are this router's."""
+def _owns_nothing(key: str) -> bool:
+    """Default of `FleetState.owns`: no key is owned."""
     return False
 
 
-def _nobody(key: EndpointLife, replaced: bool) -> None:
-    """Stands where nobody waits for the end of a life."""
+def _ignore(key: EndpointLife, replaced: bool) -> None:
+    """Default of `FleetState.on_life_over`: does nothing."""
--- a/packages/gateway/src/tamarack_gateway/outbox.py
+++ b/packages/gateway/src/tamarack_gateway/outbox.py
@@ -1,4 +1,4 @@
-"""What this router has to tell the others of its own requests."""
+"""Collects what this router reports to the others about its own requests."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     Attributes
     ----------
     reading_ms
-        Predicted time in milliseconds that the endpoint reads prompts for it.
+        Predicted prefill time in milliseconds.
     parts
-        Keys and sizes of shared prompt parts that it now keeps.
+        Keys and sizes in tokens of shared prefix blocks that the endpoint now caches.
     life
-        Life of the endpoint that this tells of; see `Endpoint.life`.
+        Incarnation of the endpoint; see `Endpoint.life`.
     """
 
     endpoint: str
@@ -30,12 +30,12 @@
 
     @property
     def key(self) -> EndpointLife:
-        """The life of the endpoint that this tells of."""
+        """The endpoint's incarnation."""
         return EndpointLife(self.endpoint, self.life)
 
 
 class Tokens(NamedTuple):
-    """Tokens that a workspace asked for and was served at one service since the last message."""
+    """Tokens that a workspace requested and was served at one service since the last message."""
 
     workspace: str
     asked: int
@@ -43,7 +43,7 @@
 
 
 class Seen(NamedTuple):
-    """An engine's queue in milliseconds and its pace, as a first event in one life showed them."""
+    """An engine's queueing time in milliseconds and speed factor, as observed in a first event."""
 
     endpoint: str
     wait_ms: float
@@ -52,12 +52,12 @@
 
     @property
     def key(self) -> EndpointLife:
-        """The life of the endpoint that this tells of."""
+        """The endpoint's incarnation."""
         return EndpointLife(self.endpoint, self.life)
 
 
 class Placements(NamedTuple):
-    """What a router did since its last message; sent soon after each placement.
+    """Work of a router since its last message; sent soon after each placement.
 
     `tokens` has an entry for each service.
     """
@@ -68,55 +68,55 @@
 
 
 class PlacementSum:
-    """Adds up placements, one entry for each engine, and for each workspace at each service.
+    """Sums placements by engine, and tokens by service and workspace.
 
-    A relay passes on the sum of what its failure domain told in an interval. With each report
-    passed on as it was, every router of a large fleet would take in all reports of all others.
+    A relay passes on the sum of its failure domain's reports in an interval. If it passed on each
+    report, every router of a large fleet would process all reports of all others.
     """
 
     def __init__(self) -> None:
-        self._reading: dict[EndpointLife, float] = {}
+        self._prefill_ms: dict[EndpointLife, float] = {}
         self._parts: dict[EndpointLife, dict[str, int]] = {}
         self._tokens: dict[str, dict[str, tuple[float, float]]] = {}
         self._seen: dict[EndpointLife, Seen] = {}
 
     def __bool__(self) -> bool:
-        return bool(self._reading or self._tokens or self._seen)
+        return bool(self._prefill_ms or self._tokens or self._seen)
 
-    def add(self, told: Placements) -> None:
-        """Add what was told before; of several first events at one engine the last one stays."""
-        for placed in told.placed:
+    def add(self, placements: Placements) -> None:
+        """Add placements; of several first events at one engine, the last one is kept."""
+        for placed in placements.placed:
             self.add_work(placed.key, placed.reading_ms, placed.parts)
-        for service, rows in told.tokens.items():
+        for service, rows in placements.tokens.items():
             for workspace, asked, served in rows:
                 self.add_tokens(service, workspace, asked, served)
-        for seen in told.seen:
+        for seen in placements.seen:
             self.add_seen(seen)
 
     def add_work(
         self, key: EndpointLife, reading_ms: float, parts: Iterable[tuple[str, int]]
     ) -> None:
-        """Add work sent to an engine, and parts that it keeps now."""
-        self._reading[key] = self._reading.get(key, 0.0) + reading_ms
+        """Add work sent to an engine, and prefix blocks that it now caches."""
+        self._prefill_ms[key] = self._prefill_ms.get(key, 0.0) + reading_ms
         self._parts.setdefault(key, {}).update(parts)
 
     def add_tokens(self, service: str, workspace: str, asked: float, served: float) -> None:
-        """Add tokens that a workspace asked a service for and was served."""
+        """Add tokens that a workspace requested of a service and was served."""
         rows = self._tokens.setdefault(service, {})
         asked_before, served_before = rows.get(workspace, (0.0, 0.0))
         rows[workspace] = (asked_before + asked, served_before + served)
 
     def add_seen(self, seen: Seen) -> None:
-        """Add what a first event showed; of several the last one stays."""
+        """Add the observation of a first event; of several, the last one is kept."""
         self._seen[seen.key] = seen
 
     def take(self) -> Placements | None:
-        """All that was added since the last call; None if nothing was."""
+        """Return and reset the sum; None if nothing was added."""
         if not self:
             return None
         placed = [
             Placed(key.name, round(reading_ms, 1), list(self._parts.get(key, {}).items()), key.life)
-            for key, reading_ms in self._reading.items()
+            for key, reading_ms in self._prefill_ms.items()
         ]
         tokens = {
             service: [
@@ -125,43 +125,43 @@
             for service, rows in self._tokens.items()
         }
         seen = list(self._seen.values())
-        self._reading, self._parts, self._seen, self._tokens = {}, {}, {}, {}
+        self._prefill_ms, self._parts, self._seen, self._tokens = {}, {}, {}, {}
         return Placements(placed, tokens, seen)
 
 
 class Outbox:
-    """Collects what happened since the last message to the other routers."""
+    """Collects placements since the last message to the other routers."""
 
     def __init__(self) -> None:
         self._sum = PlacementSum()
-        self._news = asyncio.Event()
+        self._pending_event = asyncio.Event()
 
     async def wait(self) -> None:
-        """Wait until there is something to tell."""
-        await self._news.wait()
-        self._news.clear()
+        """Wait until there is something to report."""
+        await self._pending_event.wait()
+        self._pending_event.clear()
 
     def placed(
         self, endpoint: str, reading_ms: float, parts: list[PromptPart], life: int | None = None
     ) -> None:
-        """Take in a request that was sent to an engine."""
-        self._news.set()
+        """Record a request that was sent to an engine."""
+        self._pending_event.set()
         key = EndpointLife(endpoint, life)
         self._sum.add_work(key, reading_ms, ((part.key, part.tokens) for part in parts))
 
     def asked(self, service: str, workspace: str, tokens: float) -> None:
-        """Take in tokens that a service was asked for."""
-        self._news.set()
+        """Record tokens that were requested of a service."""
+        self._pending_event.set()
         self._sum.add_tokens(service, workspace, tokens, 0.0)
 
     def served(self, service: str, workspace: str, tokens: float) -> None:
-        """Take in tokens of a request that was sent to an engine of a service."""
+        """Record tokens of a request that was sent to an engine of a service."""
         self._sum.add_tokens(service, workspace, 0.0, tokens)
 
     def seen(self, key: EndpointLife, wait_ms: float, pace: float) -> None:
-        """Take in what a first event showed; of several the last one is told."""
+        """Record the observation of a first event; of several, the last one is reported."""
         self._sum.add_seen(Seen(key.name, round(wait_ms, 1), round(pace, 2), key.life))
 
     def take(self) -> Placements | None:
-        """All that happened since the last call; None if nothing did."""
+        """Return and reset what was collected; None if nothing was."""
         return self._sum.take()
--- a/packages/gateway/src/tamarack_gateway/peer_group.py
+++ b/packages/gateway/src/tamarack_gateway/peer_group.py
@@ -1,4 +1,4 @@
-"""How routers tell each other what they do: directly, or by relays in a large fleet."""
+"""Exchange of messages between routers: direct, or through relays in a large fleet."""
 
 from __future__ import annotations
 
@@ -19,58 +19,58 @@
 
 SUMMARY_MS = 250.0
 SUMMARY_PER_ROUTER_MS = 4.0
-"""Time between two summaries, and what each router of the fleet adds to it: two of them may be
+"""Time between two summaries, and the increment for each router of the fleet: two summaries may be
 lost before a router counts as silent, also in a fleet of dozens."""
 
 REPORT_GAP_MS = 20.0
-"""Least time between two reports. One follows each placement as soon as this allows: routers that
-do not know of each other's work send it to the same engines and read parts at many."""
+"""Minimum time between two reports. Each placement is reported as soon as this allows: routers
+unaware of each other's work send it to the same engines, and prefill the same blocks at many."""
 
 RELAY_MS = 40.0
 """Time between two messages of a relay."""
 
-RELAY_QUIET_MS = 100.0
-"""Longest time that a relay is quiet when it has nothing to pass on, or only how routers are:
-with 195 of them there is always a summary to pass on, and each message wakes them all."""
+RELAY_IDLE_MS = 100.0
+"""Interval between a relay's messages when it has nothing or only summaries to pass on: with 195
+routers there is always a summary, and each message wakes all of them."""
 
-FORMER_MS = 10_000.0
-"""Time for which a router that has left the list is still listened to: it finishes what it runs for
-its grace time, 8 s here. Without it, what it sees of endpoints that end reaches nobody, and others
-judge by part of the evidence."""
+DEPARTED_MS = 10_000.0
+"""Time for which a router stays subscribed to after it has left the list: it finishes its requests
+within its grace period, 8 s here. Without it, its observations of endpoint terminations would be
+lost, and the others would decide on incomplete evidence."""
 
-PLAN_MS = 100.0
-"""Time between two looks at who relays."""
+PLAN_CHECK_MS = 100.0
+"""Time between two checks of the relay plan."""
 
 
-def _reports(domain: str) -> bytes:
+def _reports_topic(domain: str) -> bytes:
     return b"r/" + domain.encode() + b"/"
 
 
-def _across(domain: str) -> bytes:
+def _across_topic(domain: str) -> bytes:
     return b"x/" + domain.encode() + b"/"
 
 
-def _within(domain: str) -> bytes:
+def _within_topic(domain: str) -> bytes:
     return b"l/" + domain.encode() + b"/"
 
 
 class PeerGroup:
-    """The part of one router in what all tell each other.
+    """One router's side of the exchange with all others.
 
     Parameters
     ----------
     listen
         Address at which others subscribe.
     summary
-        Tells how this router is.
+        Returns this router's current summary.
     others
-        Tells how many other routers were heard lately.
+        Returns the number of other routers with a recent summary.
     took
         Called with each report of another router.
     took_work
-        Called with the sum of what routers of other failure domains placed.
+        Called with the summed placements of routers of other failure domains.
     took_alive
-        Called with routers that are as they told last, and their own clocks' times.
+        Called with the timestamps of routers whose summaries are unchanged, by their own clocks.
     """
 
     def __init__(
@@ -95,36 +95,36 @@
         self._log = log
         self._outbox = outbox
         self._summary = summary
-        self._others = others
-        self._took = took
-        self._took_work = took_work
-        self._took_alive = took_alive
+        self._peer_count = others
+        self._on_report = took
+        self._on_work = took_work
+        self._on_alive = took_alive
         self._plan = RelayPlan(router, failure_domain)
         self._links = Links(frozenset(), None, False)
         self._listed: Mapping[str, Peer] = {}
-        self._former: dict[Peer, float] = {}
-        self._own: list[Report] = []
-        self._foreign: list[Report] = []
-        self._foreign_work = PlacementSum()
-        self._foreign_alive: dict[str, float] = {}
-        self._sieve = SummarySieve()
+        self._departed: dict[Peer, float] = {}
+        self._domain_reports: list[Report] = []
+        self._remote_reports: list[Report] = []
+        self._remote_work = PlacementSum()
+        self._remote_alive: dict[str, float] = {}
+        self._summary_filter = SummarySieve()
         self._urgent = False
-        self._relaying: asyncio.Task[None] | None = None
-        self._relayed_ms = float("-inf")
-        self._summary_ms = float("-inf")
+        self._relay_task: asyncio.Task[None] | None = None
+        self._last_relay_ms = float("-inf")
+        self._last_summary_ms = float("-inf")
         self._stack = contextlib.ExitStack()
         self._tasks: list[asyncio.Task[Any]] = []
         self._sockets: PeerSockets
 
     async def __aenter__(self) -> PeerGroup:
-        self._sockets = self._stack.enter_context(PeerSockets(self._listen, self._hear))
-        self._follow()
-        for task in (self._report(), self._watch()):
+        self._sockets = self._stack.enter_context(PeerSockets(self._listen, self._receive))
+        self._update_subscriptions()
+        for task in (self._report_loop(), self._check_plan()):
             self._tasks.append(asyncio.ensure_future(task))
         return self
 
     async def __aexit__(self, *exc: object) -> None:
-        tasks = self._tasks + ([self._relaying] if self._relaying is not None else [])
+        tasks = self._tasks + ([self._relay_task] if self._relay_task is not None else [])
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -137,47 +137,48 @@
 
     @property
     def relays(self) -> bool:
-        """Whether this router passes on what others of its failure domain tell."""
+        """Whether this router relays the reports of its failure domain."""
         return self._links.relays
 
     @property
     def large(self) -> bool:
-        """Whether the fleet is large: some of its routers do for all what each could do itself."""
+        """Whether the fleet is large, so that some routers do shared tasks for all."""
         return self._plan.large
 
     def put(self, peers: Mapping[str, Peer]) -> None:
-        """Take in the routers that the store lists.
+        """Apply a new list of routers.
 
-        Whom to listen to in a large fleet is left to the next look at it: while 195 routers start,
-        the list changes with each of them, and connections were made to be closed at once.
+        In a large fleet, subscriptions change only with the next check of the plan: while 195
+        routers start, the list changes with each of them, and connections would be opened only to
+        be closed at once.
         """
         now_ms = self._clock.now_ms
         for peer in self._listed.values():
-            self._former[peer] = now_ms + FORMER_MS
+            self._departed[peer] = now_ms + DEPARTED_MS
         self._listed = dict(peers)
         for peer in peers.values():
-            self._former.pop(peer, None)
+            self._departed.pop(peer, None)
         self._plan.put(peers, now_ms)
         if not self._plan.large:
-            self._follow()
+            self._update_subscriptions()
 
     def tell_summary(self) -> None:
-        """Tell at once how this router is."""
-        self._tell(summary=self._summary())
+        """Publish this router's summary at once."""
+        self._publish(summary=self._summary())
 
     def tell_news(self, news: TableNews) -> None:
-        """Tell at once what this router learned from the store."""
-        self._tell(news=news)
+        """Publish changes that this router read from the store at once."""
+        self._publish(news=news)
 
     def tell_wanted(self, wanted: CopyWanted) -> None:
-        """Ask the others for a whole table."""
-        self._tell(wanted=wanted)
+        """Request a whole table from the other routers."""
+        self._publish(wanted=wanted)
 
     def tell_evidence(self, evidence: Evidence) -> None:
-        """Tell at once what this router learned of requests that end endpoints."""
-        self._tell(evidence=evidence)
+        """Publish new evidence about requests that crash endpoints at once."""
+        self._publish(evidence=evidence)
 
-    def _tell(
+    def _publish(
         self,
         *,
         summary: Summary | None = None,
@@ -189,145 +190,155 @@
         now_ms = self._clock.now_ms
         report = Report(self._router, now_ms, summary, placements, news, wanted, evidence)
         if self._links.relays:
-            self._gather(report)
+            self._collect(report)
             return
-        self._sockets.tell(_reports(self._domain), report)
+        self._sockets.tell(_reports_topic(self._domain), report)
 
-    def _hear(self, topic: bytes, told: Any) -> None:
-        if isinstance(told, Report):
+    def _receive(self, topic: bytes, message: Any) -> None:
+        if isinstance(message, Report):
             self._plan.report_heard(self._clock.now_ms)
             if self._links.relays:
-                self._gather(told)
-            self._took(told)
-        elif topic == _within(self._domain):
-            if isinstance(told, Digest):
-                self._plan.relay_heard(told.relay, self._clock.now_ms)
+                self._collect(message)
+            self._on_report(message)
+        elif topic == _within_topic(self._domain):
+            if isinstance(message, Digest):
+                self._plan.relay_heard(message.relay, self._clock.now_ms)
             if not self._links.relays:
-                self._take(told)
-        elif self._links.relays and topic != _across(self._domain):
-            self._gather_foreign(told)
-            self._take(told)
-
-    def _take(self, told: Any) -> None:
-        if isinstance(told, Gathered):
-            self._took_work(told.placements)
-        elif isinstance(told, Alive):
-            told.stamps.pop(self._router, None)
-            self._took_alive(told.stamps)
-        elif isinstance(told, Digest):
-            for report in told.reports:
+                self._deliver(message)
+        elif self._links.relays and topic != _across_topic(self._domain):
+            self._collect_remote(message)
+            self._deliver(message)
+
+    def _deliver(self, message: Any) -> None:
+        if isinstance(message, Gathered):
+            self._on_work(message.placements)
+        elif isinstance(message, Alive):
+            message.stamps.pop(self._router, None)
+            self._on_alive(message.stamps)
+        elif isinstance(message, Digest):
+            for report in message.reports:
                 if report.router != self._router:
-                    self._took(report)
+                    self._on_report(report)
 
-    def _gather(self, report: Report) -> None:
-        self._own.append(report)
+    def _collect(self, report: Report) -> None:
+        self._domain_reports.append(report)
         self._urgent = self._urgent or report.urgent
 
-    def _gather_foreign(self, told: Any) -> None:
-        if isinstance(told, Gathered):
-            self._foreign_work.add(told.placements)
+    def _collect_remote(self, message: Any) -> None:
+        if isinstance(message, Gathered):
+            self._remote_work.add(message.placements)
             self._urgent = True
-        elif isinstance(told, Alive):
-            self._foreign_alive.update(told.stamps)
-        elif isinstance(told, Digest):
-            self._foreign += told.reports
-            self._urgent = self._urgent or any(report.urgent for report in told.reports)
+        elif isinstance(message, Alive):
+            self._remote_alive.update(message.stamps)
+        elif isinstance(message, Digest):
+            self._remote_reports += message.reports
+            self._urgent = self._urgent or any(report.urgent for report in message.reports)
 
-    # what is told
+    # sending
 
-    async def _report(self) -> None:
+    async def _report_loop(self) -> None:
         while True:
             await asyncio.sleep(REPORT_GAP_MS / 1000)
-            interval_ms = SUMMARY_MS + self._others() * SUMMARY_PER_ROUTER_MS
-            left_ms = self._summary_ms + interval_ms - self._clock.now_ms
+            interval_ms = SUMMARY_MS + self._peer_count() * SUMMARY_PER_ROUTER_MS
+            left_ms = self._last_summary_ms + interval_ms - self._clock.now_ms
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(max(0.0, left_ms) / 1000):
                     await self._outbox.wait()
             summary = None
-            if self._clock.now_ms - self._summary_ms >= interval_ms:
-                self._summary_ms = self._clock.now_ms
+            if self._clock.now_ms - self._last_summary_ms >= interval_ms:
+                self._last_summary_ms = self._clock.now_ms
                 summary = self._summary()
             placements = self._outbox.take()
             if summary is not None or placements is not None:
-                self._tell(summary=summary, placements=placements)
+                self._publish(summary=summary, placements=placements)
 
-    async def _relay(self) -> None:
+    async def _relay_loop(self) -> None:
         while True:
             await asyncio.sleep(RELAY_MS / 1000)
             now_ms = self._clock.now_ms
-            due = self._urgent or now_ms - self._relayed_ms >= RELAY_QUIET_MS
+            due = self._urgent or now_ms - self._last_relay_ms >= RELAY_IDLE_MS
             if due and self._plan.speaks(now_ms):
-                self._pass_on(now_ms)
-
-    def _pass_on(self, now_ms: float) -> None:
-        own, alive = self._sieve.sift(self._own, now_ms)
-        foreign, work = self._foreign, self._foreign_work.take()
-        all_alive = alive | self._foreign_alive
-        self._own, self._foreign, self._foreign_alive, self._urgent = [], [], {}, False
-        self._relayed_ms = now_ms
+                self._relay_collected(now_ms)
+
+    def _relay_collected(self, now_ms: float) -> None:
+        own, alive = self._summary_filter.sift(self._domain_reports, now_ms)
+        foreign, work = self._remote_reports, self._remote_work.take()
+        all_alive = alive | self._remote_alive
+        self._domain_reports, self._remote_reports, self._remote_alive, self._urgent = (
+            [],
+            [],
+            {},
+            False,
+        )
+        self._last_relay_ms = now_ms
         if own or alive:
             across = _for_other_domains(self._router, own)
-            self._sockets.tell(_across(self._domain), *across, Alive(alive))
+            self._sockets.tell(_across_topic(self._domain), *across, Alive(alive))
         within: list[Any] = [Digest(self._router, own + foreign), Alive(all_alive)]
         if work is not None:
             within.append(Gathered(work))
-        self._sockets.tell(_within(self._domain), *within)
+        self._sockets.tell(_within_topic(self._domain), *within)
 
-    # who listens to whom
+    # subscriptions
 
-    async def _watch(self) -> None:
+    async def _check_plan(self) -> None:
         while True:
-            await asyncio.sleep(PLAN_MS / 1000)
-            if self._plan.large or self._former:
-                self._follow()
+            await asyncio.sleep(PLAN_CHECK_MS / 1000)
+            if self._plan.large or self._departed:
+                self._update_subscriptions()
 
-    def _former_addresses(self, links: Links) -> frozenset[str]:
+    def _departed_addresses(self, links: Links) -> frozenset[str]:
         now_ms = self._clock.now_ms
-        self._former = {peer: until for peer, until in self._former.items() if until > now_ms}
+        self._departed = {peer: until for peer, until in self._departed.items() if until > now_ms}
         return frozenset(
             peer.address
-            for peer in self._former
+            for peer in self._departed
             if not self._plan.large or (links.relays and peer.failure_domain == self._domain)
         )
 
-    def _follow(self) -> None:
+    def _update_subscriptions(self) -> None:
         links = self._plan.links(self._clock.now_ms)
         if links.relays != self._links.relays:
             self._log.event("relays" if links.relays else "relays no longer", domain=self._domain)
-            self._turn(links.relays)
+            self._switch_role(links.relays)
         self._links = links
-        addresses = links.addresses | self._former_addresses(links)
+        addresses = links.addresses | self._departed_addresses(links)
         self._sockets.follow(addresses, self._topics(links))
 
-    def _turn(self, relays: bool) -> None:
-        if self._relaying is not None:
-            self._relaying.cancel()
-            self._relaying = None
-        self._own, self._foreign, self._foreign_alive, self._urgent = [], [], {}, False
-        self._foreign_work, self._sieve = PlacementSum(), SummarySieve()
+    def _switch_role(self, relays: bool) -> None:
+        if self._relay_task is not None:
+            self._relay_task.cancel()
+            self._relay_task = None
+        self._domain_reports, self._remote_reports, self._remote_alive, self._urgent = (
+            [],
+            [],
+            {},
+            False,
+        )
+        self._remote_work, self._summary_filter = PlacementSum(), SummarySieve()
         if relays:
-            self._relaying = asyncio.ensure_future(self._relay())
+            self._relay_task = asyncio.ensure_future(self._relay_loop())
 
     def _topics(self, links: Links) -> frozenset[bytes]:
         if links.domains is None:
             return frozenset((b"r/",))
-        topics = {_within(self._domain)}
+        topics = {_within_topic(self._domain)}
         if links.relays:
-            topics |= {_reports(self._domain), b"x/"}
+            topics |= {_reports_topic(self._domain), b"x/"}
         return frozenset(topics)
 
 
 def _for_other_domains(relay: str, reports: list[Report]) -> list[Any]:
-    """What a relay tells of its failure domain: reports without placements, and their sum."""
+    """Messages of a relay to other domains: reports without placements, and the placements' sum."""
     work = PlacementSum()
-    kept = []
+    remaining = []
     for report in reports:
         if report.placements is not None:
             work.add(report.placements)
         if report.tells_more:
-            kept.append(report._replace(placements=None))
+            remaining.append(report._replace(placements=None))
     placements = work.take()
-    told: list[Any] = [Digest(relay, kept)]
+    messages: list[Any] = [Digest(relay, remaining)]
     if placements is not None:
-        told.append(Gathered(placements))
-    return told
+        messages.append(Gathered(placements))
+    return messages
--- a/packages/gateway/src/tamarack_gateway/peer_messages.py
+++ b/packages/gateway/src/tamarack_gateway/peer_messages.py
@@ -1,4 +1,4 @@
-"""What routers tell each other."""
+"""Messages between routers."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class Summary(NamedTuple):
-    """How one router is.
+    """State of one router.
 
     Attributes
     ----------
     boot
-        Names one life of the router; a later life has a higher one.
+        Incarnation of the router; a later one has a higher number.
     callers
         Address for callers.
     ready, fresh
-        Whether callers should be sent there, and whether it has confirmed its configuration lately.
+        Whether callers should be sent there, and whether its configuration was confirmed recently.
     overloaded
-        Whether its event loop is behind, or was, so that callers should be sent elsewhere.
+        Whether it has or recently had event-loop lag, so that callers should be sent elsewhere.
     """
 
     router: str
@@ -36,7 +36,7 @@
 
 @message(64)
 class Report(NamedTuple):
-    """What one router tells at one time; `stamp_ms` is its clock then."""
+    """Message of one router to the others; `stamp_ms` is its own clock at sending."""
 
     router: str
     stamp_ms: float
@@ -48,23 +48,23 @@
 
     @property
     def urgent(self) -> bool:
-        """Whether a relay should pass it on soon; how a router is can wait a little."""
-        return self.placements is not None or self._tells_event
+        """Whether a relay should pass it on soon; a summary alone can wait."""
+        return self.placements is not None or self._has_event
 
     @property
     def tells_more(self) -> bool:
-        """Whether it tells more than placements."""
-        return self.summary is not None or self._tells_event
+        """Whether it contains more than placements."""
+        return self.summary is not None or self._has_event
 
     @property
-    def _tells_event(self) -> bool:
+    def _has_event(self) -> bool:
         events = (self.news, self.wanted, self.evidence)
         return any(event is not None for event in events)
 
 
 @message(65)
 class Digest(NamedTuple):
-    """Reports that a relay passes on together."""
+    """Reports that a relay passes on in one message."""
 
     relay: str
     reports: list[Report]
@@ -72,10 +72,11 @@
 
 @message(66)
 class Gathered(NamedTuple):
-    """The sum of what the routers of other failure domains placed, told beside a digest.
+    """Summed placements of the routers of other failure domains, sent beside a digest.
 
-    A router's own work must not come back to it. What the routers of its own failure domain placed
-    therefore stays in their reports, by which it knows its own; this holds the others' only.
+    A router must not receive its own placements back. Placements of its own failure domain stay in
+    the reports of the single routers, so that it can skip its own; only those of other failure
+    domains are summed here.
     """
 
     placements: Placements
@@ -83,6 +84,6 @@
 
 @message(67)
 class Alive(NamedTuple):
-    """Routers that are as their last summaries told, with the times of their own clocks."""
+    """Routers whose summaries are unchanged, with timestamps of their own clocks."""
 
     stamps: dict[str, float]
--- a/packages/gateway/src/tamarack_gateway/peer_sockets.py
+++ b/packages/gateway/src/tamarack_gateway/peer_sockets.py
@@ -1,4 +1,4 @@
-"""The sockets by which routers hear each other."""
+"""Publish and subscribe sockets between routers."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 from tamarack_core.wire import decode, encode
 
 SEND_LIMIT = 200
-"""Messages that wait for a slow peer; more would only be old."""
+"""Messages queued for a slow peer; more would only be outdated on arrival."""
 
 HEARTBEAT_MS = 1_000
 HEARTBEAT_TIMEOUT_MS = 2_500
-"""A connection between routers that has gone silent is opened anew after this time. The listening
-end asks, since it is the one that connects; were both to ask, a router that may relay for 33 others
-would take in twice as many questions and answers while nothing happens."""
+"""A silent connection between routers is reopened after this time. Only the subscriber sends
+heartbeats, as it is the end that connects; if both did, a router that may relay for 33 others would
+process twice as many heartbeats while idle."""
 
 KEEPALIVE_IDLE_S = 2
 KEEPALIVE_PROBES = 3
-"""The telling end leaves it to the kernel's probes to find listeners that are gone."""
+"""The publisher relies on TCP keepalive to detect lost subscribers."""
 
 RECONNECT_MS = 300
 RECONNECT_MAX_MS = 2_000
 
 
 class PeerSockets:
-    """A publishing socket of this router's own and a subscription to others.
+    """One router's publishing socket and its subscriptions to others.
 
     Parameters
     ----------
     listen
-        Address as `IP:PORT`; port 0 takes a free one.
+        Address as `IP:PORT`; port 0 selects a free port.
     took
-        Called with the topic and content of each message that comes in.
+        Called with the topic and content of each received message.
     """
 
     def __init__(self, listen: str, took: Callable[[bytes, Any], None]) -> None:
-        self._took = took
+        self._on_message = took
         self._context = zmq.Context()
         self._out = self._socket(zmq.PUB)
         self._in = self._socket(zmq.SUB)
@@ -70,7 +70,7 @@
         return self._address
 
     def follow(self, addresses: frozenset[str], topics: frozenset[bytes]) -> None:
-        """Subscribe to just these topics of just these peers."""
+        """Subscribe to exactly these topics of exactly these peers."""
         wanted = addresses - {self._address}
         if wanted == self._peers and topics == self._topics:
             return
@@ -84,29 +84,29 @@
             self._in.disconnect(f"tcp://{address}")
         self._peers, self._topics = wanted, topics
 
-    def tell(self, topic: bytes, *told: Any) -> None:
-        """Send messages to all who listen; a slow listener loses some, and nobody waits for it."""
+    def tell(self, topic: bytes, *messages: Any) -> None:
+        """Send messages to all subscribers without waiting; slow subscribers lose some."""
         with contextlib.suppress(zmq.Again):
-            self._out.send_multipart([topic, encode(list(told))], zmq.NOBLOCK)
-        # The descriptor tells of changes only once: what came in meanwhile is taken here.
+            self._out.send_multipart([topic, encode(list(messages))], zmq.NOBLOCK)
+        # The descriptor is edge-triggered: messages that arrived meanwhile are read here.
         self.drain()
 
     def drain(self) -> None:
-        """Take in all that waits."""
+        """Read and dispatch all received messages."""
         while int(self._in.getsockopt(zmq.EVENTS)) & zmq.POLLIN:
             try:
                 parts = self._in.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
                 return
-            self._take(parts)
+            self._dispatch(parts)
 
-    def _take(self, parts: list[bytes]) -> None:
+    def _dispatch(self, parts: list[bytes]) -> None:
         frame = decode(parts[-1], "", 0, "") if len(parts) == 2 else None
         if frame is None:
             self.malformed += 1
             return
-        for told in frame.messages:
-            self._took(parts[0], told)
+        for message in frame.messages:
+            self._on_message(parts[0], message)
 
     def _socket(self, kind: int) -> zmq.Socket[bytes]:
         socket = self._context.socket(kind)
--- a/packages/gateway/src/tamarack_gateway/quarantine_feed.py
+++ b/packages/gateway/src/tamarack_gateway/quarantine_feed.py
@@ -1,4 +1,4 @@
-"""What a router learns of requests that end endpoints, told to the others and kept in the store."""
+"""Synchronises the quarantine of requests that crash endpoints with other routers and the store."""
 
 from __future__ import annotations
 
@@ -17,44 +17,45 @@
 from tamarack_gateway.unreadable_rows import RowKind
 
 GATHER_MS = 20.0
-"""Time from the first news to the message with them: ends of a mass failure come together."""
+"""Time for which new evidence is collected before it is sent: terminations of a mass failure come
+together."""
 
 WRITE_MS = 500.0
-"""Time between two looks at verdicts that the store does not list yet."""
+"""Time between two checks for decisions that the store does not list yet."""
 
 OTHERS_WRITE_MS = 3_000.0
-"""Time after which others write a verdict that the router whose turn it is has not written: it may
-have ended, or the store turns it away."""
+"""Time after which other routers write a decision that its owner has not written: the owner may
+have terminated, or the store rejects it."""
 
-FINGERPRINTS_TOLD = 8
-"""Fingerprints that a line of the log names at the most."""
+MAX_LOGGED_FINGERPRINTS = 8
+"""Most fingerprints in one log line."""
 
 
-MOST_TRIALS = 1_000_000
-"""Largest number of trials that a row may tell; routers tell each other of it in 64 bits."""
+MAX_TRIALS = 1_000_000
+"""Largest number of trials accepted in a row; messages between routers hold it in 64 bits."""
 
 
 class _RowFields(msgspec.Struct):
-    """A quarantined request's row."""
+    """The row of a quarantined request."""
 
     workspace: str = ""
-    trials: Annotated[int, msgspec.Meta(ge=0, le=MOST_TRIALS)] = 0
+    trials: Annotated[int, msgspec.Meta(ge=0, le=MAX_TRIALS)] = 0
 
 
 _decoder = msgspec.json.Decoder(_RowFields)
 
 
 class QuarantineFeed:
-    """Keeps one router's quarantine in step with the others'.
+    """Keeps one router's quarantine in sync with the others and the store.
 
     Parameters
     ----------
     tell
-        Called with news for the other routers.
+        Called with evidence to publish to the other routers.
     writes
-        Tells whether it is this router's turn to write the row of a quarantined request.
+        Returns whether this router owns the row of a quarantined request.
     write
-        Writes a row, or removes it; returns whether that was done.
+        Writes or removes a row; returns whether that succeeded.
     """
 
     def __init__(
@@ -67,35 +68,35 @@
     ) -> None:
         self._state = state
         self._quarantine = state.quarantine
-        self._tell = tell
-        self._writes = writes
-        self._write = write
-        self._news = Evidence([], [], [])
-        self._told = asyncio.Event()
+        self._publish = tell
+        self._owns_row = writes
+        self._write_row = write
+        self._pending = Evidence([], [], [])
+        self._pending_event = asyncio.Event()
         self._removals: list[str] = []
-        self._verdict = asyncio.Event()
+        self._decision_event = asyncio.Event()
         self._unwritten_ms: dict[str, float] = {}
 
-    # what is learned
+    # observations and updates
 
     def saw(self, end: End) -> None:
-        """Take in an end that this router saw."""
-        named = [aboard.fingerprint for aboard in end.aboard]
+        """Record a termination that this router detected."""
+        fingerprints = [aboard.fingerprint for aboard in end.aboard]
         self._state.log.change(
-            "endpoint ended",
+            "endpoint terminated",
             endpoint=end.endpoint,
             life=end.life,
             together=end.together,
             refused=end.refused,
-            running=len(named),
+            running=len(fingerprints),
             early=sum(aboard.early for aboard in end.aboard),
-            fingerprints=named[:FINGERPRINTS_TOLD],
+            fingerprints=fingerprints[:MAX_LOGGED_FINGERPRINTS],
         )
-        self._news.ends.append(end)
-        self._take_end(end)
+        self._pending.ends.append(end)
+        self._record_end(end)
 
     def answered(self, fingerprint: str) -> None:
-        """Take in that a request was answered whole."""
+        """Record that a request was answered completely."""
         was_quarantined = self._quarantine.contains(fingerprint)
         if not self._quarantine.answered(fingerprint):
             return
@@ -104,25 +105,25 @@
         )
         if was_quarantined:
             self._removals.append(fingerprint)
-            self._verdict.set()
-        self._news.cleared.append(fingerprint)
-        self._told.set()
+            self._decision_event.set()
+        self._pending.cleared.append(fingerprint)
+        self._pending_event.set()
 
     def hear(self, evidence: Evidence) -> None:
-        """Take in what another router learned."""
+        """Apply evidence from another router."""
         now_ms = self._state.clock.now_ms
         for end in evidence.ends:
-            self._take_end(end)
+            self._record_end(end)
         self._quarantine.cleared(evidence.cleared)
         for request in evidence.quarantined:
             if self._quarantine.take_in(request, now_ms):
                 self._log_quarantined(request, "told by another router")
 
     def took(self, change: TableChange) -> None:
-        """Take in rows of the store."""
+        """Apply rows of the store."""
         now_ms = self._state.clock.now_ms
         for row in change.rows:
-            self._take_row(row, now_ms)
+            self._apply_row(row, now_ms)
         if change.whole:
             listed = {row.key for row in change.rows if row.value is not None}
             for fingerprint in self._quarantine.keep_stored(listed):
@@ -130,8 +131,8 @@
         self._state.quarantine_known = True
 
     async def release(self, fingerprint: str) -> bool:
-        """Release a request by an operator's word; returns whether the store has taken it."""
-        if not await self._write(fingerprint, None):
+        """Release a request on an operator's command; returns whether the store accepted it."""
+        if not await self._write_row(fingerprint, None):
             return False
         if self._quarantine.release(fingerprint):
             self._log_released(fingerprint)
@@ -140,27 +141,27 @@
     # tasks
 
     async def run(self) -> None:
-        """Give verdicts when they are due, and tell the others; runs until cancelled."""
+        """Make due decisions and publish evidence; runs until cancelled."""
         while True:
             await self._wait()
             now_ms = self._state.clock.now_ms
             for request in self._quarantine.settle(now_ms):
                 self._log_quarantined(request, "endpoints ended under it")
-                self._news.quarantined.append(request)
-                self._verdict.set()
-            if any(self._news):
-                news, self._news = self._news, Evidence([], [], [])
-                self._tell(news)
+                self._pending.quarantined.append(request)
+                self._decision_event.set()
+            if any(self._pending):
+                news, self._pending = self._pending, Evidence([], [], [])
+                self._publish(news)
 
     async def store(self) -> None:
-        """Write verdicts to the store until it lists them; runs until cancelled."""
+        """Write decisions to the store until it lists them; runs until cancelled."""
         while True:
-            # At once after a verdict: routers that are all killed soon after it would not know.
+            # Written at once: if all routers are killed soon after, the decision would be lost.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(WRITE_MS / 1000):
-                    await self._verdict.wait()
-            self._verdict.clear()
-            await self._store_verdicts()
+                    await self._decision_event.wait()
+            self._decision_event.clear()
+            await self._store_decisions()
             await self._remove_rows()
 
     async def _wait(self) -> None:
@@ -168,50 +169,51 @@
         left_ms = None if due_ms is None else max(1.0, due_ms - self._state.clock.now_ms)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(None if left_ms is None else left_ms / 1000):
-                await self._told.wait()
-        if self._told.is_set():
+                await self._pending_event.wait()
+        if self._pending_event.is_set():
             await asyncio.sleep(GATHER_MS / 1000)
-        self._told.clear()
+        self._pending_event.clear()
 
     async def _remove_rows(self) -> None:
-        # All routers see an entry yield; only this one has seen the answer.
+        # Every router sees an entry evicted, so its owner removes the row; only this router has
+        # seen the answers in `_removals`.
         yielded, self._quarantine.yielded = self._quarantine.yielded, []
-        due = self._removals + [one for one in yielded if self._writes(one)]
-        # Taken before the first call: answers go on to come while the store is asked.
+        due = self._removals + [one for one in yielded if self._owns_row(one)]
+        # Reset before the first call: more answers may arrive during the calls.
         self._removals = []
         for fingerprint in due:
-            if not self._quarantine.contains(fingerprint) and not await self._write(
+            if not self._quarantine.contains(fingerprint) and not await self._write_row(
                 fingerprint, None
             ):
                 self._removals.append(fingerprint)
 
-    async def _store_verdicts(self) -> None:
+    async def _store_decisions(self) -> None:
         now_ms = self._state.clock.now_ms
         unstored = self._quarantine.unstored()
-        known = self._unwritten_ms
-        self._unwritten_ms = {r.fingerprint: known.get(r.fingerprint, now_ms) for r in unstored}
+        since_ms = self._unwritten_ms
+        self._unwritten_ms = {r.fingerprint: since_ms.get(r.fingerprint, now_ms) for r in unstored}
         for request in unstored:
             waited_ms = now_ms - self._unwritten_ms[request.fingerprint]
-            if not self._writes(request.fingerprint) and not self._helps_out(waited_ms):
+            if not self._owns_row(request.fingerprint) and not self._takes_over(waited_ms):
                 continue
             row = _RowFields(request.workspace, request.trials)
-            if await self._write(request.fingerprint, msgspec.json.encode(row)):
+            if await self._write_row(request.fingerprint, msgspec.json.encode(row)):
                 self._quarantine.mark_stored(request)
 
-    # inside
+    # helpers
 
-    def _helps_out(self, waited_ms: float) -> bool:
-        # One router of the fleet in each look, on the mean: in an outage of the store all of 195
-        # would else call it twice a second each.
+    def _takes_over(self, waited_ms: float) -> bool:
+        # On average one router of the fleet in each check: in an outage of the store, all of 195
+        # would otherwise call it twice a second each.
         draw = self._state.random.random()
         return waited_ms >= OTHERS_WRITE_MS and draw * self._state.allowance.routers < 1.0
 
-    def _take_end(self, end: End) -> None:
+    def _record_end(self, end: End) -> None:
         self._quarantine.ended(end, self._state.clock.now_ms)
         self._state.put_ended(end.key, refused=end.refused)
-        self._told.set()
+        self._pending_event.set()
 
-    def _take_row(self, row: Row, now_ms: float) -> None:
+    def _apply_row(self, row: Row, now_ms: float) -> None:
         unreadable = self._state.unreadable
         if row.value is None:
             unreadable.forget(RowKind.QUARANTINE, row.key)
--- a/packages/gateway/src/tamarack_gateway/table_follower.py
+++ b/packages/gateway/src/tamarack_gateway/table_follower.py
@@ -1,4 +1,4 @@
-"""Tables of the store that are kept up with, by calls of this router or by what others tell."""
+"""Follows tables of the store, by its own calls or by changes that other routers publish."""
 
 from __future__ import annotations
 
@@ -13,39 +13,40 @@
 from tamarack_gateway.store_client import HistoryGoneError, StoreClient, StoreError
 
 BACKOFF_MS = (150.0, 300.0, 600.0, 900.0)
-"""Pauses after failed calls in a row; refused calls cost as much as others. The longest still finds
-the store again within a second of its return."""
+"""Pauses after consecutive failed calls; refused calls cost as much as others. With the longest
+pause, the store's recovery is still detected within a second."""
 
-NEWS_BYTES = 131_072
-"""Bytes of changed rows that readers pass on: two rows of the largest size. Listeners ask the store
-for more than that. A call of the store costs more than the row's bytes to a failure domain, told
-once there and passed on within it; with 8 KiB each change of a configuration made every one of 195
-routers call."""
+MAX_NEWS_BYTES = 131_072
+"""Most bytes of changed rows in one message of a reader: two rows of the largest size. For larger
+changes, listeners call the store. Sending the rows once to each failure domain, with a relay to
+distribute them there, costs less than calls to the store: with 8 KiB, each configuration change
+made all of 195 routers call it."""
 
 COPY_GAP_MS = 400.0
-"""Least time between two copies of a table that readers tell to all: one serves all who ask."""
+"""Minimum time between two published copies of a table: one copy serves all that request it."""
 
 SILENCE_WAITS = 2.2
-"""Waits without news after which a listener asks the store itself; one lost message is borne."""
+"""Wait times without a message after which a listener calls the store; one lost message is
+tolerated."""
 
-LISTEN_WAITS = 0.25
+LISTEN_WAIT_FRACTION = 0.25
 LISTEN_MAX_MS = 1_000.0
-"""Time between two looks at whether news still come, as a part of a call's wait, and the longest;
-news that show a gap are acted on at once."""
+"""Interval at which a listener checks that messages still arrive, as a fraction of a call's wait,
+and its maximum. A message that shows a gap is handled at once."""
 
 
 class TableChange(NamedTuple):
-    """What a follower learned.
+    """A change of a table, as a follower reports it.
 
     Attributes
     ----------
     rows
         All rows of the table if `whole`, else those that changed.
     asked_ms
-        When the call was sent; the table was as told then or later.
+        When the call was sent; the rows were current then or later.
     lapsed_until_ms
-        Time until which rows that are missing may have lapsed in an outage of the store, and may
-        come back; past where there was none.
+        Time until which missing rows may only have expired in an outage of the store and may
+        return. It is in the past if there was no recent outage.
     """
 
     rows: list[Row]
@@ -55,7 +56,7 @@
 
 
 class RowNews(NamedTuple):
-    """A row as readers tell it; `value` is None where it was removed."""
+    """A row as readers publish it; `value` is None if it was removed."""
 
     key: str
     value: bytes | None
@@ -64,19 +65,20 @@
 
 @message(60)
 class TableNews(NamedTuple):
-    """What a reader learned from one call, told to routers that do not call themselves.
+    """Result of a reader's call, published to routers that do not call the store themselves.
 
     Attributes
     ----------
     after, version
-        The call told all changes between these versions.
+        The call returned all changes between these versions.
     age_ms
-        How long before the sending of this message the call was sent.
+        Time in milliseconds from the call to the sending of this message.
     rows
-        The changed rows; None where they are too large to be told.
+        The changed rows; None if they are too large for a message.
     stamps
-        The newest time that each router told this reader, by that router's own clock. With it a
-        listener knows that this message was sent after that time, however long it was on its way.
+        The newest timestamp that the reader has received from each router, by that router's own
+        clock. It proves to a listener that this message was sent after that time, whatever its
+        delay.
     whole
         Whether `rows` are all rows of the table at `version`.
     """
@@ -92,14 +94,14 @@
 
 @message(61)
 class CopyWanted(NamedTuple):
-    """Told by a router that has missed changes of a table and that the store turns away.
+    """Request of a router that has missed changes of a table and cannot read the store.
 
     Attributes
     ----------
     after
-        Version up to which it knows all changes.
+        Version up to which the router has all changes.
     tries
-        Calls of the store that have failed in a row; another reader answers each time.
+        Number of consecutive failed calls; it selects another reader to answer each time.
     """
 
     table: str
@@ -108,29 +110,29 @@
 
 
 class TableFollower:
-    """Keeps up with one table of the store.
+    """Follows one table of the store.
 
     Parameters
     ----------
     wait_ms
         How long the store holds a call until something changes.
     pause_ms
-        Least time between two calls, which bounds their number while much changes.
+        Minimum time between two calls; it limits the call rate while the table changes often.
     took
-        Called with all that is learned.
+        Called with each change.
     changed
-        Called when the store is lost or found again.
+        Called with a status and a reason when the store becomes unavailable or available again.
     reads
-        Tells whether this router asks the store itself.
+        Returns whether this router calls the store itself.
     told
-        Called with what was learned by a call, for other routers.
+        Called with the result of a call, to be published to other routers.
     wanted
-        Called when other routers should tell this one the whole table.
+        Called when another router should send this one the whole table.
     """
 
     RETURN_MS = 2_200.0
-    """Time after the store's return for which rows that lapsed in the outage may be missing: they
-    are back within about two seconds."""
+    """Time after the store's recovery for which rows that expired in the outage may be missing:
+    they return within about two seconds."""
 
     def __init__(
         self,
@@ -151,100 +153,100 @@
         self._table = table
         self._wait_ms = wait_ms
         self._pause_ms = pause_ms
-        self._took = took
-        self._changed = changed
+        self._on_change = took
+        self._on_status = changed
         self._reads = reads
-        self._told = told
-        self._wanted = wanted
+        self._on_result = told
+        self._request_copy = wanted
         self._rows: dict[str, Row] = {}
-        self._asked_ms = float("-inf")
-        self._copied_ms = float("-inf")
-        self._after: int | None = None
-        self._behind = False
-        self._heard_ms = float("-inf")
-        self._news = asyncio.Event()
+        self._call_sent_ms = float("-inf")
+        self._copy_ms = float("-inf")
+        self._version: int | None = None
+        self._gap_found = False
+        self._last_news_ms = float("-inf")
+        self._gap_event = asyncio.Event()
         self._failures = 0
-        self._renewing = False
-        self._returned_ms = float("-inf")
-        self._return_told = False
-        self._step_task: asyncio.Task[None] | None = None
+        self._restarting_call = False
+        self._recovered_ms = float("-inf")
+        self._recovery_known = False
+        self._call_task: asyncio.Task[None] | None = None
 
     @property
     def version(self) -> int | None:
-        """Version of the store up to which all changes are known; None before the first call."""
-        return self._after
+        """Store version up to which all changes are applied; None before the first call."""
+        return self._version
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
         try:
             while True:
                 if self._listening():
-                    await self._listen()
+                    await self._wait_for_news()
                 else:
-                    await self._turn()
+                    await self._poll_store()
         finally:
             self._client.close()
 
     def renew(self) -> None:
-        """Take in that the store is back, and make the call in progress anew.
+        """Record that the store has recovered, and restart the call in progress.
 
-        The time of grace for rows that lapsed runs from here on, not from this table's own next
-        answer, which may be a pause between failed calls later. A call that waits for changes
-        since before an outage may never be answered, and would only be given up seconds later.
+        The grace period for expired rows starts now, not with this table's next answer, which may
+        be delayed by a pause between failed calls. A call that has been waiting for changes since
+        before the outage may never be answered, and would only time out seconds later.
         """
-        self._returned_ms = self._clock.now_ms
-        self._return_told = True
-        if self._step_task is not None and not self._step_task.done():
-            self._renewing = True
-            self._step_task.cancel()
+        self._recovered_ms = self._clock.now_ms
+        self._recovery_known = True
+        if self._call_task is not None and not self._call_task.done():
+            self._restarting_call = True
+            self._call_task.cancel()
 
     def hear(self, news: TableNews, stamp_ms: float) -> None:
-        """Take in what a reader told; `stamp_ms` is this router's own time that it had heard."""
-        self._heard_ms = self._clock.now_ms
+        """Apply a reader's message; `stamp_ms` is this router's newest time known to the reader."""
+        self._last_news_ms = self._clock.now_ms
         if news.whole:
-            self._hear_copy(news, stamp_ms)
+            self._apply_copy(news, stamp_ms)
             return
-        if self._after is None:
+        if self._version is None:
             return
-        if news.after > self._after or (news.rows is None and news.version > self._after):
-            # A message was lost, or tells of more than it carries: the store is asked instead.
-            self._behind = True
-            self._news.set()
+        if news.after > self._version or (news.rows is None and news.version > self._version):
+            # A message was lost, or the rows were too large for it: call the store instead.
+            self._gap_found = True
+            self._gap_event.set()
             return
         rows = [
             Row(self._table, row.key, row.value, row.version)
             for row in news.rows or []
-            if row.version > self._after
+            if row.version > self._version
         ]
-        self._after = max(self._after, news.version)
-        self._learn(rows, False, stamp_ms - news.age_ms)
+        self._version = max(self._version, news.version)
+        self._apply(rows, False, stamp_ms - news.age_ms)
 
     def copy(self, after: int) -> TableNews | None:
-        """The whole table for a router that knows it up to a version; None if there is no need."""
+        """Return the whole table for a router at version `after`; None if there is no need."""
         now_ms = self._clock.now_ms
-        if self._after is None or self._after <= after or self._behind or self._failures:
+        if self._version is None or self._version <= after or self._gap_found or self._failures:
             return None
-        if not self._reads() or now_ms - self._copied_ms < COPY_GAP_MS:
+        if not self._reads() or now_ms - self._copy_ms < COPY_GAP_MS:
             return None
-        self._copied_ms = now_ms
+        self._copy_ms = now_ms
         rows = [RowNews(row.key, row.value, row.version) for row in self._rows.values()]
-        age_ms = now_ms - self._asked_ms
-        return TableNews(self._table, after, self._after, age_ms, rows, {}, whole=True)
+        age_ms = now_ms - self._call_sent_ms
+        return TableNews(self._table, after, self._version, age_ms, rows, {}, whole=True)
 
-    def _hear_copy(self, news: TableNews, stamp_ms: float) -> None:
-        self._copied_ms = self._clock.now_ms
-        if self._after is not None and (not self._behind or news.version < self._after):
+    def _apply_copy(self, news: TableNews, stamp_ms: float) -> None:
+        self._copy_ms = self._clock.now_ms
+        if self._version is not None and (not self._gap_found or news.version < self._version):
             return
-        self._behind = False
-        self._after = news.version
+        self._gap_found = False
+        self._version = news.version
         rows = [Row(self._table, row.key, row.value, row.version) for row in news.rows or []]
-        self._learn(rows, True, stamp_ms - news.age_ms)
+        self._apply(rows, True, stamp_ms - news.age_ms)
 
-    def _learn(self, rows: list[Row], whole: bool, asked_ms: float) -> None:
+    def _apply(self, rows: list[Row], whole: bool, asked_ms: float) -> None:
         if self._failures and not self._reads():
-            # Readers are served: what they tell will do, and calls that are refused cost as much
-            # as others. What lapsed in an outage of all has its time of grace from here on.
-            self._found()
+            # Readers reach the store, so their messages suffice; refused calls cost as much as
+            # others. The grace period for rows that expired in an outage starts now.
+            self._store_answered()
         if whole:
             self._rows = {}
         for row in rows:
@@ -252,91 +254,91 @@
                 self._rows.pop(row.key, None)
             else:
                 self._rows[row.key] = row
-        until_ms = self._returned_ms + self.RETURN_MS
-        self._took(TableChange(rows, whole, asked_ms, until_ms))
+        until_ms = self._recovered_ms + self.RETURN_MS
+        self._on_change(TableChange(rows, whole, asked_ms, until_ms))
 
     def _listening(self) -> bool:
-        if self._after is None or self._behind or self._failures or self._reads():
+        if self._version is None or self._gap_found or self._failures or self._reads():
             return False
-        return self._clock.now_ms - self._heard_ms < SILENCE_WAITS * self._wait_ms
+        return self._clock.now_ms - self._last_news_ms < SILENCE_WAITS * self._wait_ms
 
-    async def _listen(self) -> None:
-        self._news.clear()
-        look_ms = min(LISTEN_MAX_MS, self._wait_ms * LISTEN_WAITS)
+    async def _wait_for_news(self) -> None:
+        self._gap_event.clear()
+        check_ms = min(LISTEN_MAX_MS, self._wait_ms * LISTEN_WAIT_FRACTION)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(look_ms / 1000):
-                await self._news.wait()
+            async with asyncio.timeout(check_ms / 1000):
+                await self._gap_event.wait()
 
-    async def _turn(self) -> None:
+    async def _poll_store(self) -> None:
         started_ms = self._clock.now_ms
-        step = self._step_task = asyncio.ensure_future(self._step())
+        step = self._call_task = asyncio.ensure_future(self._call_store())
         try:
             await step
         except HistoryGoneError:
-            self._after = None
+            self._version = None
         except asyncio.CancelledError:
             task = asyncio.current_task()
-            if not self._renewing or (task is not None and task.cancelling()):
+            if not self._restarting_call or (task is not None and task.cancelling()):
                 step.cancel()
                 raise
-            self._renewing = False
+            self._restarting_call = False
         except StoreError as error:
-            await self._lost(error)
+            await self._store_failed(error)
             return
         past_ms = self._clock.now_ms - started_ms
         if past_ms < self._pause_ms:
             await asyncio.sleep((self._pause_ms - past_ms) / 1000)
 
-    async def _step(self) -> None:
+    async def _call_store(self) -> None:
         asked_ms = self._clock.now_ms
-        after = self._after
+        after = self._version
         if after is None:
             page = await self._client.read_all(self._table)
-            # As good as news from a reader: routers of a large fleet that start at once would
-            # otherwise each go on asking until the first news come.
-            self._heard_ms = self._clock.now_ms
+            # Counts as a reader's message: otherwise, routers of a large fleet that start together
+            # would all go on calling until the first message arrives.
+            self._last_news_ms = self._clock.now_ms
         else:
-            # After an outage the answer comes at once: a call that waits for a change would tell
-            # of the store's return only with that change, and take the one for the other.
-            at_once = self._failures or self._behind
+            # After an outage the store must answer at once: a call that waits for a change would
+            # reveal the store's recovery only with that change.
+            at_once = self._failures or self._gap_found
             page = await self._client.watch(self._table, after, 0.0 if at_once else self._wait_ms)
-        self._found()
+        self._store_answered()
         if page.nameless:
-            self._changed("told rows without a key", f"{page.nameless} rows")
-        self._behind = False
-        self._asked_ms = asked_ms
-        if self._after is not None and page.version < self._after:
-            # Others told of more while the answer was on its way: its rows are known, and older
-            # than what is. Taken in, an endpoint that leaves would get work again.
-            self._learn([], False, asked_ms)
+            self._on_status("returned rows without a key", f"{page.nameless} rows")
+        self._gap_found = False
+        self._call_sent_ms = asked_ms
+        if self._version is not None and page.version < self._version:
+            # Newer changes arrived from other routers in the meantime, so these rows are outdated.
+            # If applied, a leaving endpoint would get work again.
+            self._apply([], False, asked_ms)
             return
-        self._after = page.version
-        self._learn(page.rows, after is None, asked_ms)
+        self._version = page.version
+        self._apply(page.rows, after is None, asked_ms)
         if after is not None:
-            self._tell(after, page.version, page.rows, asked_ms)
+            self._publish(after, page.version, page.rows, asked_ms)
 
-    def _tell(self, after: int, version: int, rows: list[Row], asked_ms: float) -> None:
-        told: list[RowNews] | None = [RowNews(row.key, row.value, row.version) for row in rows]
-        if sum(len(row.value or b"") for row in rows) > NEWS_BYTES:
-            told = None
+    def _publish(self, after: int, version: int, rows: list[Row], asked_ms: float) -> None:
+        news_rows: list[RowNews] | None = [RowNews(row.key, row.value, row.version) for row in rows]
+        if sum(len(row.value or b"") for row in rows) > MAX_NEWS_BYTES:
+            news_rows = None
         age_ms = self._clock.now_ms - asked_ms
-        self._told(TableNews(self._table, after, version, age_ms, told, {}))
+        self._on_result(TableNews(self._table, after, version, age_ms, news_rows, {}))
 
-    def _found(self) -> None:
+    def _store_answered(self) -> None:
         if self._failures:
             self._failures = 0
-            if not self._return_told:
-                self._returned_ms = self._clock.now_ms
-            self._changed("regained", "")
+            if not self._recovery_known:
+                self._recovered_ms = self._clock.now_ms
+            self._on_status("regained", "")
 
-    async def _lost(self, error: StoreError) -> None:
-        self._return_told = False
+    async def _store_failed(self, error: StoreError) -> None:
+        self._recovery_known = False
         if not self._failures:
-            self._changed("lost", str(error))
+            self._on_status("lost", str(error))
         pause_ms = BACKOFF_MS[min(self._failures, len(BACKOFF_MS) - 1)]
         self._failures += 1
-        if self._behind or self._after is None:
-            # The store may serve others and turn just this router away: it would not hear of a
-            # large change until it is let in again, and refuse whatever needs a fresh one.
-            self._wanted(CopyWanted(self._table, self._after or 0, self._failures))
+        if self._gap_found or self._version is None:
+            # The store may reject only this router. Without a copy it would not get a large change
+            # until it is admitted again, and would refuse requests that need a fresh one.
+            self._request_copy(CopyWanted(self._table, self._version or 0, self._failures))
         await asyncio.sleep(pause_ms / 1000)
--- a/tests/test_foreign_rows.py
+++ b/tests/test_foreign_rows.py
@@ -307,7 +307,7 @@
             version = await fleet.store.put("op", "config", gone)
             await until(lambda: state.unreadable_rules is not None)
             behind = [Row("op", "config", encoded(configuration()), version - 1)]
-            fleet.gateway._feeds._took_rules(TableChange(behind, True, state.clock.now_ms, 0.0))
+            fleet.gateway._feeds._apply_rules(TableChange(behind, True, state.clock.now_ms, 0.0))
             assert (await fleet.ask("/draft/1")).status == 503
             assert state.unreadable_rules is not None
 
--- a/tests/test_foreign_rows_fuzz.py
+++ b/tests/test_foreign_rows_fuzz.py
@@ -286,9 +286,9 @@
                 found.append(Row(table, key, value, self.version))
         change = TableChange(found, whole, self.clock.now_ms, self.clock.now_ms + 1_000.0)
         take = {
-            "servers": self.feeds._took_endpoints,
-            "op": self.feeds._took_rules,
-            "routers": self.feeds._took_routers,
+            "servers": self.feeds._apply_endpoints,
+            "op": self.feeds._apply_rules,
+            "routers": self.feeds._apply_routers,
             "quarantine": self.quarantine.took,
         }
         take[table](change)
--- a/tests/test_quarantine_feed.py
+++ b/tests/test_quarantine_feed.py
@@ -34,15 +34,15 @@
             state, tell=lambda evidence: None, writes=lambda key: False, write=write
         )
         state.quarantine.take_in(QuarantinedRequest("f1", "shop", 0), clock.now_ms)
-        await feed._store_verdicts()
+        await feed._store_decisions()
         assert tried == []
         clock.advance(OTHERS_WRITE_MS)  # type: ignore[attr-defined]
         for _ in range(LOOKS):
-            await feed._store_verdicts()
+            await feed._store_decisions()
         # One look in 195 on the mean: 1.03 of these, and all 200 before.
         assert len(tried) <= 8
         state.allowance = type(state.allowance)(0.2, 50.0, 10_000.0)
-        await feed._store_verdicts()
+        await feed._store_decisions()
         assert len(tried) >= 1
 
     asyncio.run(run())
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -42,7 +42,7 @@
             changed=lambda what, reason: None,
             reads=lambda: False,
         )
-        self.follower._after = 10
+        self.follower._version = 10
 
     def hear(self, after: int, version: int, rows: list[RowNews] | None, **more: float) -> None:
         news = TableNews("op", after, version, more.get("age_ms", 0.0), rows, {})
@@ -85,9 +85,9 @@
     """
     listener = Listener()
     told: list[TableNews] = []
-    listener.follower._told = told.append
+    listener.follower._on_result = told.append
     row = Row("op", "config", b"x" * 65_536, 12)
-    listener.follower._tell(10, 12, [row], 99_000.0)
+    listener.follower._publish(10, 12, [row], 99_000.0)
     assert told[0].rows == [RowNews("config", row.value, 12)]
 
 
@@ -123,9 +123,9 @@
             return RowsPage([], 10, False)
 
     listener = Listener()
-    listener.follower._after = None
+    listener.follower._version = None
     listener.follower._client = cast(Any, Pages())
-    asyncio.run(listener.follower._step())
+    asyncio.run(listener.follower._call_store())
     assert listener.follower._listening()
     listener.clock.advance(2_200.0)
     assert not listener.follower._listening()
@@ -142,8 +142,8 @@
     follower._failures = 3
     follower.renew()
     listener.clock.advance(900.0)
-    follower._found()
-    assert follower._returned_ms == 100_000.0
+    follower._store_answered()
+    assert follower._recovered_ms == 100_000.0
 
 
 def members_of(count: int) -> list[Member]:
@@ -289,7 +289,7 @@
     async def story() -> None:
         listener, store = Listener(), Store()
         listener.follower._client = cast(Any, store)
-        step = asyncio.ensure_future(listener.follower._step())
+        step = asyncio.ensure_future(listener.follower._call_store())
         await asyncio.sleep(0)
         listener.hear(10, 12, [RowNews("e", b"draining", 12)])
         store.answer.set_result(RowsPage([Row("op", "e", b"ready", 11)], 11, False))
@@ -311,9 +311,9 @@
     async def story() -> None:
         wanted: list[CopyWanted] = []
         listener = Listener()
-        listener.follower._wanted = wanted.append
-        listener.follower._after = None
-        await listener.follower._lost(StoreError("status 503"))
+        listener.follower._request_copy = wanted.append
+        listener.follower._version = None
+        await listener.follower._store_failed(StoreError("status 503"))
         assert [want.after for want in wanted] == [0]
         copy = TableNews("op", 0, 12, 0.0, [RowNews("a", b"1", 12)], {}, whole=True)
         listener.follower.hear(copy, listener.clock.now_ms)
