--- a/packages/gateway/src/tamarack_gateway/__init__.py
+++ b/packages/gateway/src/tamarack_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The router's path for sites whose callers and endpoints speak through an adapter."""
+"""The router for platforms that are connected by an adapter."""
--- a/packages/gateway/src/tamarack_gateway/cache_inventory.py
+++ b/packages/gateway/src/tamarack_gateway/cache_inventory.py
@@ -1,4 +1,4 @@
-"""What engines keep in memory when a router starts, asked of the engines themselves."""
+"""Queries engines for their cached prefix blocks when a router starts."""
 
 from __future__ import annotations
 
@@ -13,31 +13,33 @@
 from tamarack_gateway.outbox import Outbox
 from tamarack_gateway.site import EngineDialect, Inventory
 
-LOOK_MS = 20.0
-"""Time between two looks whether the configuration and the endpoints are known."""
+CHECK_INTERVAL_MS = 20.0
+"""Interval at which the router checks that the configuration and the endpoints are known."""
 
 SETTLE_MS = 400.0
-"""Time for the first summaries of other routers, which tell how many share the asking. Routers of
-a fleet start within 300 ms of each other."""
+"""Wait for the first summaries of other routers, which share the queries. Routers of a fleet start
+within 300 ms of each other."""
 
-ASK_MS = 1_000.0
-"""Time for one engine's answer; one that is silent is left out."""
+QUERY_TIMEOUT_MS = 1_000.0
+"""Timeout of one engine's answer; an engine that does not answer is skipped."""
 
 
 class CacheInventory:
-    """Asks each engine once which prompt parts it keeps.
+    """Queries each engine once for the prefix blocks that it has cached.
 
-    A router that starts knows of no kept part, and neither do the others when all have stopped at
-    once. It would send requests to the homes of their parts and have those read anew that had
-    moved elsewhere under load: 1.3 of 3.1 million tokens that a day read again were read after
-    such a stop. Only engines that are there at the start are asked; later ones come empty.
+    A router that starts knows of no cached block, nor do the others if all have stopped together.
+    It would send requests to the blocks' preferred engines, which would prefill again what is
+    cached elsewhere after a move under load: of the 3.1 million tokens prefilled again in a day,
+    1.3 million followed such a stop. Only engines listed at the start are queried; later ones
+    start empty.
 
     Parameters
     ----------
     settles
-        Tells whether others are to be heard first, as in a large fleet.
+        Returns whether to wait for summaries of other routers first, as in a large fleet.
     asks
-        Tells whether this router asks an endpoint; in a large fleet another one does and tells.
+        Returns whether this router queries an endpoint; in a large fleet, one router queries it
+        and publishes the answer.
     """
 
     def __init__(
@@ -60,33 +62,35 @@
 
     @property
     def done(self) -> bool:
-        """Whether all engines have answered, or did not in time."""
+        """Whether all queries are complete or have timed out."""
         return self._done
 
     async def run(self) -> None:
-        """Wait for the endpoints, then ask the engines among them."""
+        """Wait for the endpoints, then query the engines among them."""
         while not self._state.ready:
-            await asyncio.sleep(LOOK_MS / 1000)
+            await asyncio.sleep(CHECK_INTERVAL_MS / 1000)
         if self._settles():
             await asyncio.sleep(SETTLE_MS / 1000)
         engines = [engine for engine in self._state.engines() if self._asks(engine.name)]
-        found = await asyncio.gather(*(self._ask(engine) for engine in engines))
-        self._state.log.event("caches were asked", engines=len(engines), parts=sum(found))
+        counts = await asyncio.gather(*(self._query(engine) for engine in engines))
+        self._state.log.event("engine caches queried", engines=len(engines), parts=sum(counts))
         self._done = True
 
-    async def _ask(self, engine: Endpoint) -> int:
+    async def _query(self, engine: Endpoint) -> int:
         try:
-            async with asyncio.timeout(ASK_MS / 1000):
+            async with asyncio.timeout(QUERY_TIMEOUT_MS / 1000):
                 body = await self._fetch(engine)
             inventory = self._dialect.read_inventory(body)
         except (TimeoutError, ConnectError, BrokenAnswerError, ValueError) as error:
             reason = str(error) or "no answer"
-            self._state.log.event("a cache was not told", endpoint=engine.name, reason=reason)
+            self._state.log.event("engine cache query failed", endpoint=engine.name, reason=reason)
             return 0
         model = self._state.model(engine.key)
-        if model is None or not _of_life(inventory, engine):
+        if model is None or not _same_incarnation(inventory, engine):
             life = {"life": engine.life, "told": inventory.life}
-            self._state.log.event("a cache of another life was told", endpoint=engine.name, **life)
+            self._state.log.event(
+                "engine cache of another incarnation ignored", endpoint=engine.name, **life
+            )
             return 0
         model.keep_older(inventory.parts)
         large = [part for part in inventory.parts if part.tokens >= PART_TOLD_TOKENS]
@@ -95,14 +99,14 @@
 
     async def _fetch(self, engine: Endpoint) -> bytes:
         connection = await self._pool.take(engine)
-        whole = False
+        complete = False
         try:
             connection.send(self._dialect.inventory(engine))
             head = await connection.head()
             body = await connection.body()
-            whole = True
+            complete = True
         finally:
-            if not whole:
+            if not complete:
                 connection.abort()
         self._pool.give_back(engine, connection)
         if head.status != 200:
@@ -110,7 +114,7 @@
         return body
 
 
-def _of_life(inventory: Inventory, engine: Endpoint) -> bool:
-    # The engine may have ended between its entry and the question, with its next life at the same
-    # address; or the answer of the life before comes after the entry of the next.
+def _same_incarnation(inventory: Inventory, engine: Endpoint) -> bool:
+    # The engine may have restarted at the same address between its entry and the query, or the
+    # answer of the previous incarnation may arrive after the entry of the next.
     return inventory.life is None or engine.life is None or inventory.life == engine.life
--- a/packages/gateway/src/tamarack_gateway/decision_log.py
+++ b/packages/gateway/src/tamarack_gateway/decision_log.py
@@ -1,7 +1,7 @@
-"""Structured logs of decisions, bounded and never waited for.
+"""Structured, bounded, non-blocking log of decisions.
 
-A line is one JSON object. Lines wait in memory and go out when the output takes them; a reader
-that stops reading costs lines, which are counted, and never the path of a request.
+A line is one JSON object. Lines are queued in memory and written when the output accepts them. If
+its reader stops, lines are dropped and counted; requests are never delayed.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from tamarack_core.clock import Clock
 
 QUEUE_LINES = 2_000
-"""Lines that wait for the output; some two seconds of a busy router."""
+"""Most queued lines; some two seconds of a busy router."""
 
 WRITE_BYTES = 4_096
-"""Bytes that an output that polls as writable takes without blocking (PIPE_BUF)."""
+"""Bytes that a writable output accepts without blocking (PIPE_BUF)."""
 
 LINES_PER_S = 300
-"""Lines of one kind in a second: a busy router places some 40 requests in it. What fails is of
-another kind than what goes well, so that much of one never costs the other its lines."""
+"""Most lines of one kind in a second, in which a busy router places some 40 requests. Failures and
+successes are different kinds, so that neither displaces lines of the other."""
 
 
-MOST_REASONS = 60
-"""Reasons that are counted apart; some hold an endpoint's own words, of which there is no end."""
+MAX_REASONS = 60
+"""Most reasons counted separately; some include text from endpoints, which is unbounded."""
 
 
 class DecisionLog:
@@ -44,9 +44,9 @@
     Attributes
     ----------
     decisions
-        How often each decision was taken, by its reason; dropped lines are counted, too.
+        Number of decisions by kind and reason, including those whose lines were dropped.
     on_line
-        Called when the first line comes to wait for the output.
+        Called when a line is added to an empty queue.
     """
 
     def __init__(self, router: str, clock: Clock, *, output: int = 1) -> None:
@@ -63,31 +63,31 @@
         self.dropped: Counter[str] = Counter()
         self.decisions: Counter[tuple[str, str]] = Counter()
         self.written = 0
-        self.on_line: Callable[[], None] = _nobody
+        self.on_line: Callable[[], None] = _ignore
 
     @property
     def waiting(self) -> bool:
-        """Whether lines wait for the output."""
+        """Whether lines are queued."""
         return bool(self._lines or self._partial)
 
     def request(self, decision: str, attempt: str, **facts: Any) -> None:
-        """Log and count a decision about a request, with what it was decided by."""
+        """Log and count a decision about a request, with the facts it is based on."""
         kind = (decision, str(facts.get("reason", "")))
-        if kind not in self.decisions and len(self.decisions) >= MOST_REASONS:
+        if kind not in self.decisions and len(self.decisions) >= MAX_REASONS:
             kind = (decision, "other")
         self.decisions[kind] += 1
         self._line(decision, f"request: {decision}", {"request": attempt, **facts})
 
-    def change(self, belief: str, **facts: Any) -> None:
-        """Log a change of what the router believes."""
-        self._line("belief", f"belief: {belief}", facts)
+    def change(self, sentence: str, **facts: Any) -> None:
+        """Log a change of the router's local state."""
+        self._line("belief", f"belief: {sentence}", facts)
 
     def event(self, sentence: str, **facts: Any) -> None:
-        """Log a start, stop, reload, or a dependency lost or regained."""
+        """Log a start, stop or reload, or a dependency lost or regained."""
         self._line("event", f"router: {sentence}", facts)
 
     def flush(self, most_writes: int = 16) -> None:
-        """Write what the output takes without waiting."""
+        """Write as much as the output accepts without blocking."""
         for _ in range(most_writes):
             if not self.waiting or not self._poll.poll(0):
                 return
@@ -99,7 +99,7 @@
             try:
                 count = os.write(self._output, block[:WRITE_BYTES])
             except OSError:
-                # The reader is gone; there is nobody left to tell.
+                # The reader has closed the output, so the lines cannot be delivered.
                 self._partial = b""
                 self._lines.clear()
                 return
@@ -126,7 +126,7 @@
     def _append(self, now_ms: float, message: str, facts: dict[str, Any]) -> None:
         if not self.waiting:
             self.on_line()
-        # Steady clocks differ between instances; lines of several are put in order by time of day.
+        # Monotonic clocks differ between instances; wall time orders lines of several routers.
         line = {
             "at_ms": round(now_ms),
             "wall_ms": self._clock.wall_ms,
@@ -138,5 +138,5 @@
         self.written += 1
 
 
-def _nobody() -> None:
-    """Stands where nobody waits for lines."""
+def _ignore() -> None:
+    """Default of `DecisionLog.on_line`: does nothing."""
--- a/packages/gateway/src/tamarack_gateway/gateway.py
+++ b/packages/gateway/src/tamarack_gateway/gateway.py
@@ -1,4 +1,4 @@
-"""One router: its listeners, what it follows, and how it leaves."""
+"""One router: its listeners, its background tasks and its shutdown."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
 from tamarack_gateway.table_follower import CopyWanted, TableNews
 
 READERS_SETTLE_MS = 1_000.0
-"""Time after its start in which a router of a large fleet, having read the store once, leaves it to
-the others to go on: it has not heard who they are, and would take itself for a reader. Of 66
-routers that start together each made three calls more, a quarter of a short day's calls."""
+"""Time after its start in which a router of a large fleet, having read the store once, does not act
+as a reader: before it knows the others, it would select itself. Without this wait, each of 66
+routers that start together made three more calls, a quarter of a short day's calls."""
 
 SWEEP_MS = 500.0
-"""Time between two looks at idle connections and silent peers."""
+"""Time between two checks for idle connections and silent peers."""
 
 LEAVE_STEP_MS = 50.0
-"""Time between two looks of a leaving router at what still runs."""
+"""Time between two checks of a leaving router for requests in progress."""
 
 FLUSH_MS = 100.0
-"""Time from a line of the log to its writing, and between two writes."""
+"""Delay from a log line to its writing, and minimum time between two writes."""
 
 
 class Gateway:
-    """All of one router; use it as an asynchronous context manager."""
+    """One router with all its parts, as an asynchronous context manager."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
             log,
             self._connections,
             changed=lambda: self._peers.tell_summary(),
-            turned_away=lambda: self._crowd.turned_away,
+            turned_away=lambda: self._caller_limit.turned_away,
         )
         self._metrics = GatewayMetrics(
             self._state,
@@ -95,11 +95,11 @@
             self._witness,
             self._quarantine,
         )
-        self._crowd = CallerCrowd(self._state, self._connections)
-        self._listeners = Listeners(self._state, clock, self._connections, self._crowd)
+        self._caller_limit = CallerCrowd(self._state, self._connections)
+        self._listeners = Listeners(self._state, clock, self._connections, self._caller_limit)
         self._tasks: list[asyncio.Task[Any]] = []
-        self._lines = asyncio.Event()
-        log.on_line = self._lines.set
+        self._lines_queued = asyncio.Event()
+        log.on_line = self._lines_queued.set
         self._stack = contextlib.AsyncExitStack()
         self._peers = self._make_peers()
         self._feeds = self._make_feeds()
@@ -147,7 +147,7 @@
 
     @property
     def state(self) -> FleetState:
-        """What this router believes."""
+        """The router's local state."""
         return self._state
 
     @property
@@ -157,7 +157,7 @@
 
     @property
     def site_addresses(self) -> list[str]:
-        """Addresses at which readiness and addresses for callers are served."""
+        """Addresses at which readiness and the directory for callers are served."""
         return self._site_addresses
 
     @property
@@ -166,10 +166,10 @@
         return self._metrics_address
 
     def reload(self) -> None:
-        """Read the settings anew; addresses of listeners stay as they were at the start.
+        """Reload the settings; listener addresses stay as they were at the start.
 
-        A file that cannot be used changes nothing: it may be looked at while it is being written,
-        and an error here would end the task that looks, so that no later change took hold.
+        An invalid file is logged and ignored: it may be read while it is being written, and an
+        error here would end the task that watches it, so that no later change would take effect.
         """
         try:
             self._settings = self._site.load_settings()
@@ -180,7 +180,7 @@
         self._log.event("settings were read anew", store=self._settings.store)
 
     async def leave(self) -> None:
-        """Stop in order: callers go elsewhere first, and what runs is finished."""
+        """Shut down gracefully: divert callers first, then finish requests in progress."""
         clock, state = self._clock, self._state
         plan = plan_leaving(
             clock.now_ms,
@@ -204,7 +204,7 @@
             await asyncio.sleep(LEAVE_STEP_MS / 1000)
         self._log.event("left", connections=len(self._connections))
 
-    # parts
+    # construction
 
     def _make_quarantine(self) -> QuarantineFeed:
         return QuarantineFeed(
@@ -236,7 +236,7 @@
             outbox=self._outbox,
             summary=self._summary,
             others=lambda: self._members.heard_within(5_000.0, self._clock.now_ms),
-            took=self._took,
+            took=self._on_report,
             took_work=self._state.take_placements,
             took_alive=lambda stamps: self._members.alive(stamps, self._clock.now_ms),
         )
@@ -247,7 +247,7 @@
             self._state,
             follow=self._follow,
             reads=self._reads,
-            told=self._tell_news,
+            told=self._publish_news,
             wanted=self._peers.tell_wanted,
             took_quarantine=self._quarantine.took,
         )
@@ -275,7 +275,7 @@
             self._state.ready,
             self._clock.now_ms,
             self._state.fresh,
-            overloaded=self._watch.avoid or self._crowd.crowded,
+            overloaded=self._watch.avoid or self._caller_limit.crowded,
         )
 
     def _follow(self, peers: dict[str, Peer]) -> None:
@@ -288,15 +288,15 @@
             return False
         return self._members.reads(table, self._me, now_ms)
 
-    def _tell_news(self, news: TableNews) -> None:
+    def _publish_news(self, news: TableNews) -> None:
         if self._members.heard_within(5_000.0, self._clock.now_ms):
             if news.table == self._site.tables.configuration:
                 news = news._replace(stamps=self._members.stamps())
             self._peers.tell_news(news)
 
-    def _took(self, report: Report) -> None:
+    def _on_report(self, report: Report) -> None:
         if report.summary is not None:
-            self._heard(report.summary, report.stamp_ms)
+            self._on_summary(report.summary, report.stamp_ms)
         self._members.stamped(report.router, report.stamp_ms)
         if report.placements is not None:
             self._state.take_placements(report.placements)
@@ -304,17 +304,17 @@
             stamp_ms = report.news.stamps.get(self._settings.router, float("-inf"))
             self._feeds.hear(report.news, stamp_ms)
         if report.wanted is not None:
-            self._give_copy(report.wanted)
+            self._send_copy(report.wanted)
         if report.evidence is not None:
             self._quarantine.hear(report.evidence)
 
-    def _give_copy(self, wanted: CopyWanted) -> None:
+    def _send_copy(self, wanted: CopyWanted) -> None:
         if self._members.gives(f"{wanted.table}/{wanted.tries}", self._me, self._clock.now_ms):
             news = self._feeds.copy(wanted)
             if news is not None:
-                self._tell_news(news)
+                self._publish_news(news)
 
-    def _heard(self, summary: Summary, stamp_ms: float) -> None:
+    def _on_summary(self, summary: Summary, stamp_ms: float) -> None:
         now_ms = self._clock.now_ms
         member = Member(
             summary.router,
@@ -356,9 +356,9 @@
 
     async def _flush(self) -> None:
         while True:
-            await self._lines.wait()
-            self._lines.clear()
+            await self._lines_queued.wait()
+            self._lines_queued.clear()
             await asyncio.sleep(FLUSH_MS / 1000)
             self._log.flush()
             if self._log.waiting:
-                self._lines.set()
+                self._lines_queued.set()
--- a/packages/gateway/src/tamarack_gateway/gateway_metrics.py
+++ b/packages/gateway/src/tamarack_gateway/gateway_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a router, as text for a metrics reader."""
+"""Counters, gauges and histograms of a router in the text format for metrics."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
     from tamarack_gateway.metric_collectors import MetricCollectors
 
 LATENCY_MS = [5.0, 10.0, 25.0, 50.0, 100.0, 250.0, 500.0, 1_000.0, 2_500.0, 5_000.0, 10_000.0]
-"""Upper bounds of the latency histogram in milliseconds, from an answer of a plain service to the
-longest time that a stream may take."""
+"""Upper bounds of the latency histogram, from a fast answer of a plain service to the longest
+stream."""
 
 
 class GatewayMetrics:
-    """What a router counts; gauges are read when they are asked for.
+    """Metrics of a router; gauges are read when the metrics are rendered.
 
     Parameters
     ----------
     store_calls
-        Tells how many calls of the store were made.
+        Returns the number of calls made to the store.
     loop
-        Tells how busy the event loop is.
+        Returns the state of the event loop.
     """
 
     def __init__(
@@ -47,8 +47,8 @@
 
     @cached_property
     def _collectors(self) -> MetricCollectors:
-        # Loaded with the first request: the library takes a twelfth of a router's start, and most
-        # of a large fleet's routers are ready before anybody asks them for anything.
+        # Imported with the first use: the library takes a twelfth of a router's start-up time, and
+        # most routers of a large fleet are ready before their first request.
         from tamarack_gateway.metric_collectors import MetricCollectors
 
         return MetricCollectors(LATENCY_MS)
@@ -58,11 +58,11 @@
         self._collectors.requests.inc({"kind": route.kind.value})
 
     def ended(self, route: Route, took_ms: float) -> None:
-        """Count the time that a request took."""
+        """Record the duration of a request."""
         self._collectors.latency.observe({"kind": route.kind.value}, took_ms)
 
     def render(self) -> tuple[bytes, str]:
-        """Text of all metrics and its content type."""
+        """All metrics as text, and the content type."""
         state, now_ms = self._state, self._state.clock.now_ms
         loop = self._loop()
         readings = {
@@ -112,8 +112,8 @@
         return self._collectors.render()
 
     def _read_workspaces(self) -> None:
-        # Those that are no longer among the largest are left out: their last reading would stand
-        # for ever, and the page would grow by each workspace that was ever large.
+        # Workspaces that are no longer among the largest are removed: their last values would stay
+        # forever, and the page would grow with each workspace that was ever large.
         self._collectors.workspaces.values.clear()
         for row in workspace_statuses(self._state):
             readings = {
--- a/packages/gateway/src/tamarack_gateway/main.py
+++ b/packages/gateway/src/tamarack_gateway/main.py
@@ -1,4 +1,4 @@
-"""Runs one router of a site until it is told to stop."""
+"""Runs one router of a site until it receives a signal to stop."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 SETTINGS_CHECK_S = 1.0
-"""Seconds between two looks at the settings file, which may change without a signal."""
+"""Seconds between two checks of the settings file, which may change without a signal."""
 
 
 def run_site(make_site: Callable[[], Site], settings_path: str) -> int:
-    """Run a router with an adapter's site; returns the exit code."""
+    """Run a router on an adapter's site; returns the exit code."""
     clock = BootClock()
     site = make_site()
     try:
@@ -49,23 +49,23 @@
         watch = asyncio.ensure_future(_watch_settings(gateway, settings_path))
         await stop.wait()
         await gateway.leave()
-        # The loop takes its handlers away as it closes; a second signal would then end the process
-        # by its default action, and a stop in good order would look like a crash.
+        # The loop removes its signal handlers as it closes: a second signal would then terminate
+        # the process by its default action, and a clean stop would look like a crash.
         signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
         watch.cancel()
 
 
 async def _watch_settings(gateway: Gateway, path: str) -> None:
-    seen = _stamp(path)
+    seen = _file_version(path)
     while True:
         await asyncio.sleep(SETTINGS_CHECK_S)
-        stamp = _stamp(path)
+        stamp = _file_version(path)
         if stamp != seen:
             seen = stamp
             gateway.reload()
 
 
-def _stamp(path: str) -> tuple[int, int]:
+def _file_version(path: str) -> tuple[int, int]:
     try:
         status = os.stat(path)
     except OSError:
--- a/packages/gateway/src/tamarack_gateway/metric_collectors.py
+++ b/packages/gateway/src/tamarack_gateway/metric_collectors.py
@@ -34,6 +34,6 @@
         self.gauges = Gauge("state", "What the router believes", registry=registry)
 
     def render(self) -> tuple[bytes, str]:
-        """Text of all metrics and its content type."""
+        """All metrics as text, and the content type."""
         content, headers = render(self._registry, ["text/plain"])
         return content, headers.get("Content-Type", "text/plain")
--- a/packages/gateway/src/tamarack_gateway/quarantine_settings.py
+++ b/packages/gateway/src/tamarack_gateway/quarantine_settings.py
@@ -1,4 +1,4 @@
-"""What operators set about requests that end endpoints, read from the environment."""
+"""Operators' settings for the quarantine of requests that crash endpoints."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 PAUSE_S = "TAMARACK_QUARANTINE_PAUSE_S"
 
 ENDS_RANGE = (2, 100)
-"""With one, every end would quarantine whoever was there alone; with a hundred, nobody ever."""
+"""With 1, every termination would quarantine a request that ran there alone; with 100, practically
+no request would ever be quarantined."""
 
 PAUSE_S_RANGE = (1.0, LONGEST_PAUSE_MS / 1000)
-"""From a second, for trials, to the longest pause."""
+"""From one second, for trials, to the longest pause."""
 
 
 def quarantine_bounds(environment: Mapping[str, str]) -> QuarantineBounds:
-    """Read and check the settings; raises `ValueError` with every fault."""
+    """Read and check the settings in the environment; raises `ValueError` with all errors."""
     defaults = USUAL_BOUNDS
-    faults: list[str] = []
-    ends = _number(environment, ENDS, float(defaults.ends), ENDS_RANGE, faults)
-    pause_s = _number(environment, PAUSE_S, defaults.first_pause_ms / 1000, PAUSE_S_RANGE, faults)
+    errors: list[str] = []
+    ends = _number(environment, ENDS, float(defaults.ends), ENDS_RANGE, errors)
+    pause_s = _number(environment, PAUSE_S, defaults.first_pause_ms / 1000, PAUSE_S_RANGE, errors)
     if ends != int(ends):
-        faults.append(f"{ENDS} is not a whole number")
-    if faults:
-        raise ValueError("; ".join(faults))
+        errors.append(f"{ENDS} is not a whole number")
+    if errors:
+        raise ValueError("; ".join(errors))
     return QuarantineBounds(int(ends), pause_s * 1000)
 
 
@@ -34,7 +35,7 @@
     name: str,
     default: float,
     allowed: tuple[float, float],
-    faults: list[str],
+    errors: list[str],
 ) -> float:
     try:
         number = float(environment.get(name, default))
@@ -43,5 +44,5 @@
     least, most = allowed
     if least <= number <= most:
         return number
-    faults.append(f"{name} is not a number from {least:g} to {most:g}")
+    errors.append(f"{name} is not a number from {least:g} to {most:g}")
     return default
--- a/packages/gateway/src/tamarack_gateway/quarantine_status.py
+++ b/packages/gateway/src/tamarack_gateway/quarantine_status.py
@@ -1,4 +1,4 @@
-"""Requests in quarantine or suspected, told to operators."""
+"""Status of quarantined and suspected requests for operators."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 from tamarack_gateway.fleet_state import FleetState
 
 MOST_SUSPECTS = 50
-"""Suspects that are told of, by the ends that they met; a mass failure makes hundreds."""
+"""Most suspects in the status, by the terminations they were present at; a mass failure creates
+hundreds."""
 
 
 class QuarantinedStatus(TypedDict):
-    """A request that is quarantined; `stored` tells whether the store lists it."""
+    """A quarantined request; `stored` is whether the store lists it."""
 
     fingerprint: str
     workspace: str
@@ -21,7 +22,7 @@
 
 
 class SuspectStatus(TypedDict):
-    """A request that met ends of endpoints; `weight` is what these count."""
+    """A request present at endpoint terminations; `weight` is their weighted number."""
 
     fingerprint: str
     workspace: str
@@ -30,7 +31,7 @@
 
 
 class QuarantineStatus(TypedDict):
-    """All that one router knows of requests that end endpoints."""
+    """One router's local view of requests that crash endpoints."""
 
     quarantined: list[QuarantinedStatus]
     suspects: list[SuspectStatus]
@@ -38,7 +39,7 @@
 
 
 def quarantine_status(state: FleetState) -> QuarantineStatus:
-    """Read the quarantine of a router."""
+    """Status of a router's quarantine."""
     quarantine = state.quarantine
     return {
         "quarantined": [
--- a/packages/gateway/src/tamarack_gateway/router_status.py
+++ b/packages/gateway/src/tamarack_gateway/router_status.py
@@ -1,4 +1,4 @@
-"""What one router believes, told to operators."""
+"""Status of one router's local state for operators."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from tamarack_gateway.unreadable_rows import RowKind
 
 LARGEST_WORKSPACES = 20
-"""Workspaces that are told of at each service, by what they ask; a site may have thousands, and
-those that ask for little are neither refused nor in the way of others."""
+"""Most workspaces in the status of each service, by requested tokens. A site may have thousands;
+those with little load are neither refused nor affect others."""
 
 
 class MemberStatus(TypedDict):
-    """Another router as it was heard last."""
+    """Another router according to its last summary."""
 
     router: str
     failure_domain: str
@@ -26,9 +26,10 @@
 
 
 class EndpointStatus(TypedDict):
-    """An endpoint: the wait that is predicted there, and how it has done lately.
+    """An endpoint: its predicted waiting time and its recent performance.
 
-    `wait_ms` and `pace` speak of model engines; for plain services see `latency_ms`.
+    `wait_ms` and `pace` (the speed factor) apply to model engines; for plain services, see
+    `latency_ms`. `life` is the incarnation.
     """
 
     endpoint: str
@@ -44,11 +45,11 @@
 
 
 class WorkspaceStatus(TypedDict):
-    """One of the workspaces that asked a service for most lately, over all routers.
+    """One of the workspaces with the highest recent demand on a service, over all routers.
 
-    `asked` and `served` are tokens in the window; `standing` is what it was served in shares,
-    `lead` as a multiple of what the backlogged workspace with least was served, and `filled` in
-    even parts of what is really served.
+    `asked` and `served` are tokens in the window. `standing` is the service received relative to
+    the fair share, `lead` the service relative to the least-served backlogged workspace, and
+    `filled` the service relative to an even part of what is actually served.
     """
 
     service: str
@@ -61,9 +62,9 @@
 
 
 class UnreadableStatus(TypedDict):
-    """Versions of rows that could not be used since the start.
+    """Numbers of row versions that could not be read since the start.
 
-    `newest_configuration` is the reason where the newest configuration is such a one, so that an
+    `newest_configuration` is the reason if the newest configuration cannot be read, so that an
     older one is in force.
     """
 
@@ -75,7 +76,7 @@
 
 
 class RouterStatus(TypedDict):
-    """All that one router tells."""
+    """The complete status of one router."""
 
     router: str
     ready: bool
@@ -93,7 +94,7 @@
 def router_status(
     state: FleetState, members: FleetMembers, loop: LoopStatus, *, relays: bool
 ) -> RouterStatus:
-    """Status of a router from what it holds; takes some microseconds for each entry."""
+    """Status of a router from its local state; takes some microseconds for each entry."""
     age_ms = state.freshness.age_ms(state.clock.now_ms)
     return {
         "router": state.settings.router,
@@ -162,7 +163,7 @@
 
 
 def workspace_statuses(state: FleetState) -> list[WorkspaceStatus]:
-    """Rows of the workspaces that asked each service for most in the window."""
+    """Status of the workspaces with the highest demand on each service in the window."""
     names = state.rules.engine_services if state.rules is not None else ()
     return [row for name in names for row in _workspaces(state, name)]
 
--- a/packages/gateway/src/tamarack_gateway/site.py
+++ b/packages/gateway/src/tamarack_gateway/site.py
@@ -1,7 +1,7 @@
-"""What an adapter gives to run the router on one kind of platform.
+"""Interface that an adapter implements to run the router on one kind of platform.
 
-An adapter translates between a platform's names and formats and the types named here, and decides
-nothing: no timeout, no retry, no choice of endpoint.
+An adapter only translates between a platform's names and formats and the types defined here. It
+makes no decisions: no timeout, no retry, no choice of endpoint.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
     Attributes
     ----------
     revoke_ms
-        Milliseconds after which a key that was taken away must open nothing.
+        Milliseconds after which a revoked key must be rejected.
     drain_ms
-        Milliseconds for which an endpoint that leaves may still get new work.
+        Milliseconds for which a leaving endpoint may still get new work.
     grace_ms
-        Milliseconds from the request to stop until the process is killed.
+        Milliseconds from the signal to stop until the process is killed.
     address_ttl_ms
-        Longest time for which callers' address answers may count.
+        Longest time in milliseconds for which callers may use an answer with addresses.
     retry_ratio, retry_slack, retry_window_ms
-        Bound on requests that are sent again, for all routers together.
+        Budget of retried requests, for all routers together.
     share_window_ms
-        Window in which workspaces' shares are counted.
+        Window in milliseconds in which workspaces' shares are counted.
     """
 
     revoke_ms: float = 5_000.0
@@ -50,14 +50,14 @@
     Attributes
     ----------
     callers, readiness, directory
-        Addresses for callers, for the platform's own checks and for callers that ask for
-        addresses; empty where this router does not serve it.
+        Addresses for callers, for the platform's readiness checks and for callers that request
+        router addresses; empty if not served by this router.
     peers, metrics
         Addresses for other routers and for metrics.
     store
         Address of the platform's store.
     descriptors
-        Sockets that the process may have open at once.
+        Maximum number of sockets that the process may have open.
     """
 
     router: str
@@ -73,20 +73,20 @@
 
 
 class RequestFacts(NamedTuple):
-    """What a caller's headers say.
+    """Facts from the headers of a caller's request.
 
     Attributes
     ----------
     attempt
-        Names this attempt; each repeat by the caller has another name.
+        Id of this attempt; each retry by the caller has another id.
     wait_ms
-        Milliseconds that the caller waits; None where it does not tell.
+        Milliseconds that the caller waits; None if not given.
     key
-        The caller's key; None without one, empty where it cannot be read.
+        The caller's key; None if there is none, empty if it cannot be read.
     prompt
-        What a generation asks for; None for other requests.
+        The prompt of a generation request; None for other requests.
     last_event
-        Id of the last event that the caller has of a broken stream.
+        Id of the last event that the caller received of an interrupted stream.
     """
 
     attempt: str
@@ -99,18 +99,18 @@
 
 
 class AnswerFacts(NamedTuple):
-    """What an endpoint's headers say.
+    """Facts from the headers of an endpoint's answer.
 
     Attributes
     ----------
     attempt
-        The request that it answers, None where it does not tell.
+        Id of the attempt that it answers; None if not given.
     signed
-        Whether it bears the endpoint's signature.
+        Whether it has the endpoint's signature.
     not_run
-        Whether it promises that the request has not run and never will.
+        Whether it guarantees that the request has not run and never will.
     encoded
-        Whether the body is in an encoding that nobody asked for.
+        Whether the body has an encoding that was not requested.
     """
 
     attempt: str | None
@@ -120,10 +120,10 @@
 
 
 class RequestDialect(Protocol):
-    """Headers of callers and endpoints."""
+    """Headers of requests and answers, on the callers' and the endpoints' side."""
 
     def read(self, request: Request) -> RequestFacts | None:
-        """What a request says; None where it cannot be understood."""
+        """Facts of a request; None if it cannot be parsed."""
 
     def for_endpoint(
         self,
@@ -134,33 +134,33 @@
         left_ms: float,
         last_event: int | None,
     ) -> bytes:
-        """The request as an endpoint gets it."""
+        """The request as sent to an endpoint."""
 
     def read_answer(self, head: AnswerHead) -> AnswerFacts:
-        """What an answer says."""
+        """Facts of an endpoint's answer."""
 
     def for_caller(self, head: AnswerHead) -> Headers:
-        """Headers of an endpoint's answer as the caller gets them."""
+        """Headers of an endpoint's answer as sent to the caller."""
 
     def refusal(self, attempt: str, retry_after_ms: float | None) -> Headers:
-        """Headers of an answer of the router's own."""
+        """Headers of a refusal by the router itself."""
 
 
 class Inventory(NamedTuple):
-    """Prompt parts that an engine keeps, and in which life; None where it does not tell."""
+    """Prefix blocks that an engine has cached, and its incarnation (None if not given)."""
 
     parts: list[PromptPart]
     life: int | None
 
 
 class EngineDialect(Protocol):
-    """Calls of a model engine that are no requests of callers."""
+    """Calls of the router's own to a model engine."""
 
     def inventory(self, engine: Endpoint) -> bytes:
-        """Ask an engine which prompt parts it keeps."""
+        """Request for the prefix blocks that an engine has cached."""
 
     def read_inventory(self, body: bytes) -> Inventory:
-        """Decode its answer; raises `ValueError`."""
+        """Decode the answer; raises `ValueError`."""
 
 
 class Row(NamedTuple):
@@ -169,7 +169,7 @@
     Attributes
     ----------
     value
-        None where the row was removed; empty where its bytes cannot be read.
+        None if the row was removed; empty if its bytes cannot be decoded.
     """
 
     table: str
@@ -179,14 +179,16 @@
 
 
 class RowsPage(NamedTuple):
-    """An answer about rows.
+    """A page of rows.
 
     Attributes
     ----------
     version
-        The store's newest.
+        The store's newest version.
+    more
+        Whether there are further pages.
     nameless
-        Rows that were left out since not even their keys can be read.
+        Number of rows left out because not even their keys can be read.
     """
 
     rows: list[Row]
@@ -196,7 +198,7 @@
 
 
 class StoreCall(NamedTuple):
-    """One call of the store."""
+    """One call to the store."""
 
     method: bytes
     target: bytes
@@ -207,7 +209,7 @@
     """Calls and answers of the platform's store."""
 
     def read(self, table: str, start: str) -> StoreCall:
-        """Read rows of a table from key `start` on."""
+        """Read rows of a table, starting at key `start`."""
 
     def watch(self, table: str, after: int, wait_ms: int) -> StoreCall:
         """Wait for changes of a table after a version."""
@@ -215,30 +217,30 @@
     def write(
         self, table: str, key: str, value: bytes | None, expected: int | None = None
     ) -> StoreCall:
-        """Put or remove one row, if it has the expected version (0: it does not exist)."""
+        """Write or remove one row, if it has the expected version (0: the row does not exist)."""
 
     def page(self, body: bytes) -> RowsPage:
-        """Decode an answer about rows; raises `ValueError`."""
+        """Decode a page of rows; raises `ValueError`."""
 
 
 class Place(NamedTuple):
-    """Who asks for addresses, and for which host."""
+    """The host and the failure domain that a caller requests addresses for."""
 
     host: str
     failure_domain: str
 
 
 class DirectoryDialect(Protocol):
-    """How callers ask for addresses, and how the platform asks whether a router is ready."""
+    """Requests of callers for router addresses, and of the platform for readiness."""
 
     def is_readiness(self, request: Request) -> bool:
-        """Whether a request asks for readiness."""
+        """Whether a request is a readiness check."""
 
     def place(self, request: Request) -> Place | None:
-        """Who asks for addresses; None where a request asks for something else."""
+        """The place of a request for addresses; None for other requests."""
 
     def addresses(self, addresses: list[str], ttl_s: float) -> tuple[Headers, bytes]:
-        """Write an answer with addresses."""
+        """Headers and body of an answer with addresses."""
 
 
 class Tables(NamedTuple):
@@ -252,13 +254,13 @@
 
 
 class Site(NamedTuple):
-    """All that an adapter gives.
+    """Everything that an adapter provides.
 
     Attributes
     ----------
     read_rules, read_keys, read_endpoint
-        Decode a configuration, only the keys of one that cannot be read as a whole with their
-        workspaces, and an endpoint's entry by its key; all raise `ValueError`.
+        Decode a configuration; only its keys with their workspaces, for a configuration that
+        cannot be read as a whole; and an endpoint's entry by its key. All raise `ValueError`.
     """
 
     name: str
--- a/packages/gateway/src/tamarack_gateway/store_client.py
+++ b/packages/gateway/src/tamarack_gateway/store_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store, and tables that are followed by waiting for changes."""
+"""Client of the platform's store."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from tamarack_gateway.site import Row, RowsPage, StoreCall, StoreDialect
 
 CONNECT_MS = 700.0
-"""Milliseconds for a connection to the store: some hundred times what it takes."""
+"""Timeout of a connection to the store: some hundred times the usual duration."""
 
 CALL_MS = 1_500.0
-"""Milliseconds for an answer: the store answers in 4 ms, and within a third of a second when it is
-slow by the sixtyfold that its operators tell of."""
+"""Timeout of an answer: the store answers in 4 ms, and within a third of a second when it is sixty
+times slower, as its operators report."""
 
 HISTORY_GONE = 410
 
@@ -30,7 +30,7 @@
 
 
 class HistoryGoneError(StoreError):
-    """The changes asked for are no longer kept; the table has to be read anew."""
+    """The requested changes are no longer available; the whole table must be read again."""
 
 
 class StoreClient:
@@ -39,7 +39,7 @@
     Parameters
     ----------
     address
-        Tells the store's address; it may change with the settings.
+        Returns the store's address, which may change with the settings.
     """
 
     def __init__(self, address: Callable[[], str], dialect: StoreDialect, clock: Clock) -> None:
@@ -50,11 +50,11 @@
         self.calls = 0
 
     async def call(self, call: StoreCall, *, wait_ms: float = 0.0) -> bytes:
-        """Make a call and return the body of its answer; raises `StoreError`."""
+        """Call the store and return the body of its answer; raises `StoreError`."""
         self.calls += 1
         try:
             async with asyncio.timeout((CALL_MS + wait_ms) / 1000):
-                return await self._ask(call)
+                return await self._exchange(call)
         except (TimeoutError, ConnectError, BrokenAnswerError) as error:
             raise StoreError(str(error) or "no answer") from error
 
@@ -81,12 +81,12 @@
             self._connection.abort()
             self._connection = None
 
-    async def _ask(self, call: StoreCall) -> bytes:
+    async def _exchange(self, call: StoreCall) -> bytes:
         connection = self._connection
         if connection is None or not connection.usable:
             connection = await open_connection(self._address(), CONNECT_MS)
         self._connection = None
-        whole = False
+        complete = False
         try:
             headers = [(b"host", self._address().encode())]
             if call.body:
@@ -94,14 +94,14 @@
             connection.send(request_bytes(call.method, call.target, headers, call.body))
             head = await connection.head()
             body = await connection.body()
-            whole = True
+            complete = True
         finally:
-            if not whole:
+            if not complete:
                 connection.abort()
         if connection.finish(self._clock.now_ms):
             self._connection = connection
         if head.status == HISTORY_GONE:
-            raise HistoryGoneError("the history asked for is gone")
+            raise HistoryGoneError("the requested history is no longer available")
         if head.status != 200:
             raise StoreError(f"status {head.status}")
         return body
@@ -110,4 +110,4 @@
         try:
             return self._dialect.page(body)
         except ValueError as error:
-            raise StoreError(f"not an answer about rows: {error}") from error
+            raise StoreError(f"malformed page of rows: {error}") from error
--- a/packages/gateway/src/tamarack_gateway/table_follower.py
+++ b/packages/gateway/src/tamarack_gateway/table_follower.py
@@ -299,7 +299,7 @@
             self._last_news_ms = self._clock.now_ms
         else:
             # After an outage the store must answer at once: a call that waits for a change would
-            # reveal the store's recovery only with that change.
+            # detect the recovery only with that change, and take its time for the recovery's.
             at_once = self._failures or self._gap_found
             page = await self._client.watch(self._table, after, 0.0 if at_once else self._wait_ms)
         self._store_answered()
--- a/packages/gateway/src/tamarack_gateway/unreadable_rows.py
+++ b/packages/gateway/src/tamarack_gateway/unreadable_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the store that cannot be used, as other writers may leave them."""
+"""Accounting of rows of the store that cannot be read, such as invalid ones by other writers."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from tamarack_gateway.decision_log import DecisionLog
 
 LINES_PER_S = 20
-"""Lines in a second; starts and stops share the log's own bound with them. Whoever writes bad rows
-at a rate writes more of the same."""
+"""Most log lines in a second, so that they do not use up the log's own limit, which also applies to
+starts and stops. A writer of many bad rows repeats the same error, so little is lost."""
 
-MOST_KEYS = 2_000
-"""Rows whose last told version is remembered; more than a fleet has endpoints and routers."""
+MAX_KEYS = 2_000
+"""Most rows whose last logged version is remembered; a fleet has fewer endpoints and routers."""
 
-REASON_CHARACTERS = 200
-"""Longest part of a reason that is told; it may quote what was read."""
+MAX_REASON_CHARACTERS = 200
+"""Maximum length of a logged reason, which may quote the row."""
 
 
 class RowKind(StrEnum):
-    """What a row holds."""
+    """Kind of a row's content."""
 
     CONFIGURATION = "configuration"
     ENDPOINT = "endpoint"
@@ -29,41 +29,41 @@
 
 
 class UnreadableRows:
-    """Counts rows that cannot be used, and logs each version of one once.
+    """Counts rows that cannot be read, and logs each version of a row once.
 
-    A table is read again and again, and an entry may stand for hours: a line for each reading
-    would drown the others.
+    Tables are read repeatedly, and a bad row may remain for hours: a line for each read would
+    drown out the others.
 
     Attributes
     ----------
     counts
-        Versions of rows that could not be used, by what they hold.
+        Number of row versions that could not be read, by kind.
     """
 
     def __init__(self, log: DecisionLog, clock: Clock) -> None:
         self._log = log
         self._clock = clock
-        self._told: dict[tuple[RowKind, str], int] = {}
+        self._logged: dict[tuple[RowKind, str], int] = {}
         self._second = 0
         self._lines = 0
         self.counts: Counter[RowKind] = Counter()
 
     def note(self, kind: RowKind, key: str, version: int, reason: str) -> None:
-        """Take in a version of a row that cannot be used."""
-        if self._told.get((kind, key)) == version:
+        """Record a version of a row that cannot be read."""
+        if self._logged.get((kind, key)) == version:
             return
-        if len(self._told) >= MOST_KEYS:
-            self._told.clear()
-        self._told[kind, key] = version
+        if len(self._logged) >= MAX_KEYS:
+            self._logged.clear()
+        self._logged[kind, key] = version
         self.counts[kind] += 1
         second = int(self._clock.now_ms // 1000)
         if second != self._second:
             self._second, self._lines = second, 0
         self._lines += 1
         if self._lines <= LINES_PER_S:
-            told = {"row": key, "version": version, "reason": reason[:REASON_CHARACTERS]}
-            self._log.event(f"unreadable {kind}", **told)
+            facts = {"row": key, "version": version, "reason": reason[:MAX_REASON_CHARACTERS]}
+            self._log.event(f"unreadable {kind}", **facts)
 
     def forget(self, kind: RowKind, key: str) -> None:
-        """Take in that a row can be read, or is gone."""
-        self._told.pop((kind, key), None)
+        """Record that a row can be read or was removed."""
+        self._logged.pop((kind, key), None)
