--- a/packages/gateway/src/tamarack_gateway/fleet_state.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_state.py
@@ -191,14 +191,14 @@
     def take_placements(self, placements: Placements) -> None:
         """Apply what other routers placed, and what they observed in first events."""
         now_ms = self.clock.now_ms
-        lives, models = self._incarnations, self.models
+        incarnations, models = self._incarnations, self.models
         for name, reading_ms, parts, life in placements.placed:
-            if name in lives and lives[name] == life:
+            if name in incarnations and incarnations[name] == life:
                 models[name].sent_elsewhere(reading_ms, now_ms)
                 if parts:
                     models[name].keep_named(parts, now_ms)
         for name, wait_ms, pace, life in placements.seen:
-            if name in lives and lives[name] == life:
+            if name in incarnations and incarnations[name] == life:
                 models[name].seen_elsewhere(wait_ms, pace, now_ms)
         # Counts for services that this router does not know are dropped: they may be invalid.
         known = self.rules.engine_services if self.rules is not None else ()
@@ -246,8 +246,8 @@
         now_ms = self.clock.now_ms
         avoid_ms = TERMINATED_MS if key.life is not None else TERMINATED_UNIDENTIFIED_MS
         until_ms = now_ms + (avoid_ms if refused else CLOSING_MS)
-        kept = {k: until for k, until in self._avoid_until_ms.items() if until > now_ms}
-        self._avoid_until_ms = {**kept, key: max(until_ms, kept.get(key, 0.0))}
+        remaining = {k: until for k, until in self._avoid_until_ms.items() if until > now_ms}
+        self._avoid_until_ms = {**remaining, key: max(until_ms, remaining.get(key, 0.0))}
         ends = {k: at for k, at in self._termination_ms.items() if now_ms - at < TERMINATED_MS}
         self._termination_ms = {key: now_ms, **ends}
 
@@ -281,8 +281,8 @@
     def _start_incarnation(self, endpoint: Endpoint) -> None:
         name = endpoint.name
         if name in self._incarnations:
-            lives = {"life": endpoint.life, "life_before": self._incarnations[name]}
-            self.log.change("endpoint restarted", endpoint=name, **lives)
+            fields = {"life": endpoint.life, "life_before": self._incarnations[name]}
+            self.log.change("endpoint restarted", endpoint=name, **fields)
             self.on_life_over(EndpointLife(name, self._incarnations[name]), True)
         self._incarnations[name] = endpoint.life
         self.records[name] = EndpointRecord()
--- a/tests/test_foreign_rows.py
+++ b/tests/test_foreign_rows.py
@@ -148,7 +148,7 @@
     play(scenario())
 
 
-def test_an_entry_that_cannot_be_read_after_an_outage_is_not_kept() -> None:
+def test_an_entry_that_cannot_be_read_after_an_outage_is_not_retained() -> None:
     book = EndpointBook(kept_ms=1_700.0)
     endpoint = read_endpoint("w1", encoded(GOOD))
     book.replace([endpoint], 0.0, keep_until_ms=-1.0)
--- a/tests/test_peer_group.py
+++ b/tests/test_peer_group.py
@@ -26,7 +26,7 @@
         self.name = name
         self.domain = domain
         self.outbox = Outbox()
-        self.heard: dict[str, list[float]] = {}
+        self.received: dict[str, list[float]] = {}
         self.sums: list[float] = []
         self.alive: dict[str, float] = {}
         self.summaries: set[str] = set()
@@ -42,19 +42,21 @@
             others=lambda: len(self.summaries),
             took=self.took,
             took_alive=lambda stamps: self.alive.update(stamps),
-            took_work=lambda told: self.sums.extend(placed.reading_ms for placed in told.placed),
+            took_work=lambda work: self.sums.extend(placed.reading_ms for placed in work.placed),
         )
 
     @property
     def total(self) -> float:
-        return sum(self.sums) + sum(reading for told in self.heard.values() for reading in told)
+        return sum(self.sums) + sum(
+            reading for readings in self.received.values() for reading in readings
+        )
 
     def took(self, report: Report) -> None:
         if report.summary is not None:
             self.summaries.add(report.router)
         if report.placements is not None:
             readings = [placed.reading_ms for placed in report.placements.placed]
-            self.heard.setdefault(report.router, []).extend(readings)
+            self.received.setdefault(report.router, []).extend(readings)
 
 
 async def start(stack: contextlib.AsyncExitStack) -> list[Member]:
@@ -92,7 +94,7 @@
             await asyncio.sleep(0.2)
             for member in members:
                 near = [m for m in members if m.domain == member.domain and m is not member]
-                assert member.heard == {m.name: [sent[m.name]] for m in near}
+                assert member.received == {m.name: [sent[m.name]] for m in near}
                 foreign = [sent[m.name] for m in members if m.domain != member.domain]
                 assert sum(member.sums) == sum(foreign)
 
@@ -116,7 +118,7 @@
             # Reports are lost until the new relay has subscribed; later ones are delivered.
             others = [m for m in left[1:] if m.domain != left[0].domain]
             near = [m for m in left[1:] if m.domain == left[0].domain]
-            while not (all(name in m.heard for m in near) and all(m.sums for m in others)):
+            while not (all(name in m.received for m in near) and all(m.sums for m in others)):
                 left[0].outbox.placed("engine", 7.0, [])
                 await asyncio.sleep(0.05)
 
