--- a/packages/gateway/src/tamarack_gateway/peer_group.py
+++ b/packages/gateway/src/tamarack_gateway/peer_group.py
@@ -103,7 +103,7 @@
         self._links = Links(frozenset(), None, False)
         self._listed: Mapping[str, Peer] = {}
         self._departed: dict[Peer, float] = {}
-        self._domain_reports: list[Report] = []
+        self._reports: list[Report] = []
         self._remote_reports: list[Report] = []
         self._remote_work = PlacementSum()
         self._remote_alive: dict[str, float] = {}
@@ -221,7 +221,7 @@
                     self._on_report(report)
 
     def _collect(self, report: Report) -> None:
-        self._domain_reports.append(report)
+        self._reports.append(report)
         self._urgent = self._urgent or report.urgent
 
     def _collect_remote(self, message: Any) -> None:
@@ -261,15 +261,10 @@
                 self._relay_collected(now_ms)
 
     def _relay_collected(self, now_ms: float) -> None:
-        own, alive = self._summary_filter.sift(self._domain_reports, now_ms)
+        own, alive = self._summary_filter.sift(self._reports, now_ms)
         foreign, work = self._remote_reports, self._remote_work.take()
         all_alive = alive | self._remote_alive
-        self._domain_reports, self._remote_reports, self._remote_alive, self._urgent = (
-            [],
-            [],
-            {},
-            False,
-        )
+        self._reports, self._remote_reports, self._remote_alive, self._urgent = [], [], {}, False
         self._last_relay_ms = now_ms
         if own or alive:
             across = _for_other_domains(self._router, own)
@@ -309,12 +304,7 @@
         if self._relay_task is not None:
             self._relay_task.cancel()
             self._relay_task = None
-        self._domain_reports, self._remote_reports, self._remote_alive, self._urgent = (
-            [],
-            [],
-            {},
-            False,
-        )
+        self._reports, self._remote_reports, self._remote_alive, self._urgent = [], [], {}, False
         self._remote_work, self._summary_filter = PlacementSum(), SummarySieve()
         if relays:
             self._relay_task = asyncio.ensure_future(self._relay_loop())
