--- a/packages/client/src/tamarack_client/address_book.py
+++ b/packages/client/src/tamarack_client/address_book.py
@@ -11,6 +11,7 @@
 
 ASK_TIMEOUT = urllib3.Timeout(connect=0.5, read=1.0)
 AVOID_S = 2.0
+"""Seconds for which an address that failed is tried only after the others."""
 
 
 class Addresses(NamedTuple):
@@ -29,7 +30,7 @@
 
 
 class AddressBook:
-    """Asks known routers which routers to use, and caches the answer for its time to live.
+    """Queries known routers for the routers to use, and caches the answer for its time to live.
 
     Parameters
     ----------
--- a/packages/client/src/tamarack_client/client.py
+++ b/packages/client/src/tamarack_client/client.py
@@ -227,7 +227,7 @@
         self.attempts = 0
 
     def open(self) -> BaseHTTPResponse:
-        """Send until a router gives an answer that is not a refusal."""
+        """Send until a router returns an answer that is not a refusal."""
         while True:
             for address in self._client.book.ordered():
                 response = self._try(address)
--- a/packages/ctl/src/tamarack_ctl/prompt_reads.py
+++ b/packages/ctl/src/tamarack_ctl/prompt_reads.py
@@ -30,7 +30,7 @@
 
 
 class Reading(NamedTuple):
-    """One placement's use of a shared prefix block; `read` tells whether it was prefilled."""
+    """One placement's use of a shared prefix block; `read` is whether it was prefilled."""
 
     at_ms: int
     part: str
--- a/packages/ctl/src/tamarack_ctl/workspace_service.py
+++ b/packages/ctl/src/tamarack_ctl/workspace_service.py
@@ -23,7 +23,7 @@
         Mean lead of these, weighted by tokens. Lead is the workspace's service relative to that of
         the least-served backlogged workspace.
     overloaded
-        Requests refused by routers whose event loop lagged, whatever they asked for.
+        Requests refused by routers whose event loop lagged, whatever their kind.
     """
 
     workspace: str
