--- a/packages/gateway/src/tamarack_gateway/caller_answer.py
+++ b/packages/gateway/src/tamarack_gateway/caller_answer.py
@@ -1,4 +1,4 @@
-"""Answers as a caller gets them: an endpoint's, or the router's own refusal."""
+"""Writes answers to a caller: an endpoint's answer, or the router's own refusal."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 QUARANTINED = (
     b"quarantined: endpoints ended while they ran this request; repeating it does not help\n"
 )
-"""What a caller is told of a request that is quarantined."""
+"""Body of the refusal of a quarantined request."""
 
 
 class CallerAnswer:
@@ -20,7 +20,7 @@
     Parameters
     ----------
     attempt
-        Names the request.
+        Id of the request.
     """
 
     def __init__(self, caller: CallerConnection, dialect: RequestDialect, attempt: str) -> None:
@@ -29,7 +29,7 @@
         self._attempt = attempt
 
     def pass_on(self, head: AnswerHead, events: list[Event]) -> None:
-        """Write events of a stream, before the first ones its head."""
+        """Write events of a stream; the first ones are preceded by the head of the answer."""
         data = b"".join(event.data for event in events)
         if self._caller.begun:
             self._caller.write(data)
@@ -37,28 +37,29 @@
             self._caller.begin(head.status, self._dialect.for_caller(head), data)
 
     def pass_failure(self, head: AnswerHead, body: bytes) -> None:
-        """Write an endpoint's failure."""
+        """Pass on an endpoint's error answer."""
         if head.status in (408, 421, 429, 503):
-            # These promise that the request has not run; this endpoint has not said so.
+            # To a caller these statuses mean that the request has not run, which the endpoint has
+            # not confirmed.
             self.refuse(502, None)
             return
         self._caller.answer(head.status, self._dialect.for_caller(head), body)
 
     def refuse(self, status: int, retry_after_ms: float | None) -> None:
-        """Write an answer of the router's own."""
+        """Write a refusal by the router itself."""
         self._caller.answer(status, self._dialect.refusal(self._attempt, retry_after_ms))
 
     def quarantine(self) -> None:
-        """Refuse what has not run in this attempt, and is not to: no time to come back is told."""
+        """Refuse a quarantined request that has not run; sends no time after which to retry."""
         headers = [*self._dialect.refusal(self._attempt, None), (b"content-type", b"text/plain")]
         self._caller.answer(503, headers, QUARANTINED)
 
     def refuse_for_now(self, draw: float) -> None:
-        """Refuse what this router has no time for; another serves it at once.
+        """Refuse a request that this router cannot serve before it exits; another router can.
 
         Parameters
         ----------
         draw
-            A number from 0 up to 1 that spreads returns.
+            Random number in [0, 1) that spreads the retries.
         """
         self.refuse(503, ELSEWHERE_MS * (1.0 + draw))
--- a/packages/gateway/src/tamarack_gateway/caller_connection.py
+++ b/packages/gateway/src/tamarack_gateway/caller_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection: requests are read whole and answered one after the other."""
+"""A caller's HTTP connection: reads each request completely and answers them in order."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 )
 
 DRAIN_BYTES = 4_000_000
-"""Bytes of a refused body that are still read: closing with unread bytes resets the connection,
-and the caller would see a broken pipe in place of the refusal."""
+"""Bytes of a refused body that are read and discarded: closing with unread bytes resets the
+connection, and the caller would see a broken pipe instead of the refusal."""
 
 WRITE_HIGH_BYTES = 256 * 1024
-"""Bytes waiting for a slow caller before its answer is read no further."""
+"""Bytes buffered for a slow caller from which on its answer is no longer read from the endpoint."""
 
-STOP_MS = 200.0
-"""Longest wait for a handler that is cancelled; it has nothing to wait for, and one that waited
-nonetheless would hold the router up until it is killed."""
+STOP_TIMEOUT_MS = 200.0
+"""Timeout in milliseconds for a cancelled handler to return; a handler that does not return would
+block the router's exit until the process is killed."""
 
 Handler = Callable[[Request, "CallerConnection"], Awaitable[None]]
 
@@ -44,20 +44,20 @@
     Parameters
     ----------
     handler
-        Answers a request by this connection's `answer`, or `begin`, `write` and `end`.
+        Answers a request by calling `answer`, or `begin`, `write` and `end`, of this connection.
     bounds
-        Tells the limits in force.
+        Returns the limits in force.
     registry
-        The set of open connections that this one enters itself into.
+        The set of open connections, to which this one adds itself.
     crowded
-        Tells whether there are so many that each ends with the answer in progress.
+        Returns whether so many connections are open that each closes after the answer in progress.
 
     Attributes
     ----------
     closing
-        Whether the connection ends with the answer in progress.
+        Whether the connection closes after the answer in progress.
     on_writable
-        Called once when a caller that read too slowly has caught up.
+        Called once when the write buffer of a slow caller has drained.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self._registry = registry
         self._transport: Any = None
         self._parser = httptools.HttpRequestParser(self)
-        self._waiting: deque[tuple[Request, bool]] = deque()
+        self._pending: deque[tuple[Request, bool]] = deque()
         self._task: asyncio.Task[None] | None = None
         self._writable = True
         self._headers: Headers = []
@@ -86,11 +86,11 @@
         self._body_bytes = 0
         self._reading = False
         self._head_done = False
-        self._keep = True
+        self._keep_alive = True
         self._begun = False
         self._refused = False
         self._discarded = 0
-        self._since_ms = clock.now_ms
+        self._changed_ms = clock.now_ms
         self.closing = False
         self.on_writable: Callable[[], None] | None = None
 
@@ -135,7 +135,7 @@
         self._headers, self._target, self._body = [], b"", []
         self._head_bytes = self._body_bytes = 0
         self._reading, self._head_done = True, False
-        self._since_ms = self._clock.now_ms
+        self._changed_ms = self._clock.now_ms
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -151,7 +151,7 @@
             return
         if self._head_bytes > self._bounds().header_bytes:
             self._refuse(431)
-        elif not self._proper_framing():
+        elif not self._has_valid_framing():
             self._refuse(400)
         elif self._expects_continue():
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -167,7 +167,7 @@
 
     def on_message_complete(self) -> None:
         self._reading = False
-        self._since_ms = self._clock.now_ms
+        self._changed_ms = self._clock.now_ms
         if self._refused:
             return
         request = Request(
@@ -178,11 +178,11 @@
             self._clock.now_ms,
         )
         self._body = []
-        self._waiting.append((request, self._parser.should_keep_alive()))
+        self._pending.append((request, self._parser.should_keep_alive()))
         if self._task is None:
             self._task = asyncio.ensure_future(self._serve())
 
-    # what handlers call
+    # called by handlers
 
     @property
     def gone(self) -> bool:
@@ -191,32 +191,32 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the answer in progress has begun to go out."""
+        """Whether the head of the answer in progress has been written."""
         return self._begun
 
     @property
     def writable(self) -> bool:
-        """Whether the caller reads as fast as it is written to; `on_writable` tells of a change."""
+        """Whether the write buffer has room; `on_writable` is called when it has room again."""
         return self._writable
 
     @property
     def busy(self) -> bool:
-        """Whether a request is read, waits or is answered."""
+        """Whether a request is being read, is waiting or is being answered."""
         return self._task is not None or self._reading
 
     @property
     def unused(self) -> bool:
-        """Whether nothing has come on it yet."""
+        """Whether no request has arrived on the connection yet."""
         return not self._answered and not self.busy
 
     @property
     def answered_ms(self) -> float | None:
-        """When its last answer ended; None while it is busy, and before the first."""
+        """Time at which the last answer ended; None while busy and before the first answer."""
         idle = self._answered and not self.busy and not self.gone
-        return self._since_ms if idle else None
+        return self._changed_ms if idle else None
 
     def answer(self, status: int, headers: Headers, body: bytes = b"") -> None:
-        """Write a whole answer."""
+        """Write a complete answer."""
         if self._begun:
             raise RuntimeError("an answer has begun already")
         if self.gone:
@@ -226,7 +226,7 @@
         self._transport.write(head_bytes(status, framed) + body)
 
     def begin(self, status: int, headers: Headers, first: bytes) -> None:
-        """Write the head of an answer of unknown length, and its first bytes."""
+        """Write the head and the first bytes of an answer of unknown length."""
         if self._begun:
             raise RuntimeError("an answer has begun already")
         if self.gone:
@@ -247,40 +247,40 @@
             self._transport.write(LAST_CHUNK)
 
     def cut(self) -> None:
-        """End an answer so that the caller sees that it is not whole."""
+        """Close the connection so that the caller detects that its answer is incomplete."""
         if self._transport is not None:
             self._transport.close()
 
     async def stop(self) -> None:
-        """End a request in progress and close; the handler is cancelled and waited for."""
+        """Cancel the handler of the request in progress, wait for it, and close."""
         task = self._task
         if task is not None:
             task.cancel()
-            await asyncio.wait([task], timeout=STOP_MS / 1000)
+            await asyncio.wait([task], timeout=STOP_TIMEOUT_MS / 1000)
         self.cut()
 
     def close_if_idle(self, now_ms: float) -> None:
-        """Close a connection that has been idle, or slow to send a head, for too long."""
+        """Close the connection after the idle timeout, or if a request head arrives too slowly."""
         if self.gone or self._task is not None:
             return
         bounds = self._bounds()
-        past_ms = now_ms - self._since_ms
-        if self._reading and not self._head_done and past_ms > bounds.header_ms:
+        elapsed_ms = now_ms - self._changed_ms
+        if self._reading and not self._head_done and elapsed_ms > bounds.header_ms:
             self._refuse(408)
-        elif not self._reading and past_ms > bounds.idle_ms:
+        elif not self._reading and elapsed_ms > bounds.idle_ms:
             self._transport.close()
 
     def close_when_idle(self) -> None:
-        """Close now, or after the answer in progress."""
+        """Close the connection now, or after the answer in progress."""
         self.closing = True
         if not self.gone and not self.busy:
             self._transport.close()
 
     async def _serve(self) -> None:
         try:
-            while self._waiting and not self.gone:
-                request, keep = self._waiting.popleft()
-                self._keep = keep
+            while self._pending and not self.gone:
+                request, keep = self._pending.popleft()
+                self._keep_alive = keep
                 self._begun = False
                 try:
                     await self._handler(request, self)
@@ -289,18 +289,18 @@
                     raise
                 if not self._begun and not self.gone:
                     raise RuntimeError("a request was not answered")
-                if not (self._keep and not self.closing):
+                if not (self._keep_alive and not self.closing):
                     self._finish()
                     return
         finally:
             self._task = None
             self._answered = True
-            self._since_ms = self._clock.now_ms
+            self._changed_ms = self._clock.now_ms
 
     def _fail(self) -> None:
-        # A fault of the program: without an answer or a close the caller would wait until its
-        # deadline, and its connection stay open for good.
-        self._keep = False
+        # An unexpected exception: without an answer or a close the caller would wait until its
+        # deadline, and its connection would never be closed.
+        self._keep_alive = False
         if self._begun:
             self.cut()
             return
@@ -313,8 +313,8 @@
             self._transport.close()
 
     def _connection_headers(self) -> Headers:
-        if self.closing or not self._keep or self._crowded():
-            self._keep = False
+        if self.closing or not self._keep_alive or self._crowded():
+            self._keep_alive = False
             return [(b"connection", b"close")]
         return []
 
@@ -324,9 +324,9 @@
             if self._head_bytes > 2 * self._bounds().header_bytes:
                 self._refuse(431)
 
-    def _proper_framing(self) -> bool:
-        # A request whose framing two readers may understand differently can hide a second one in
-        # its body; an endpoint would run a request that no caller sent. It is refused here.
+    def _has_valid_framing(self) -> bool:
+        # Prevents request smuggling: a request with ambiguous framing can hide a second one in its
+        # body, and an endpoint would run a request that no caller sent.
         lengths = [value for name, value in self._headers if name == b"content-length"]
         codings = [value for name, value in self._headers if name == b"transfer-encoding"]
         hosts = [value for name, value in self._headers if name == b"host"]
@@ -370,7 +370,7 @@
 
 
 class TurnedAway(asyncio.Protocol):
-    """A connection beyond those that the router can hold: closed before anything is read."""
+    """Protocol of a connection above the connection limit: closes it before anything is read."""
 
     def connection_made(self, transport: Any) -> None:
         transport.abort()
--- a/packages/gateway/src/tamarack_gateway/caller_crowd.py
+++ b/packages/gateway/src/tamarack_gateway/caller_crowd.py
@@ -1,4 +1,4 @@
-"""How many callers are connected, against what the router's descriptors bear."""
+"""Limits the number of callers' connections by the router's file descriptors."""
 
 from __future__ import annotations
 
@@ -7,97 +7,98 @@
 from tamarack_gateway.caller_connection import CallerConnection
 from tamarack_gateway.fleet_state import FleetState
 
-CALLERS_PART = 0.6
-"""Part of the descriptors that callers' connections may take; the rest is for endpoints, the store
-and other routers. A router without one left can neither accept nor connect, and requests that it
-has read are lost; callers that are turned away at once go to another router."""
+CALLER_DESCRIPTOR_FRACTION = 0.6
+"""Fraction of the file descriptors for callers' connections; the rest is for endpoints, the store
+and other routers. A router without free descriptors can neither accept nor connect, and loses
+requests that it has read; callers whose connection is rejected at once go to another router."""
 
-CROWDED_PART = 0.5
-"""Part of that from which answers end their connections, and callers are told of other routers.
-Callers that come back after a refusal do so on new connections, and keep the old ones: at 600
-requests a second a bound of 2,340 was reached in 4 s, and nobody got in any more."""
+CROWDED_FRACTION = 0.5
+"""Fraction of that limit from which on connections close after each answer, and callers are
+directed to other routers. Callers retry a refused request on a new connection and keep the old one
+open: at 600 requests a second they reach a limit of 2,340 connections in 4 s, and no caller can
+connect any more."""
 
-ROOM = 32
-"""Idle connections that are closed at once to make room, as many as are accepted in one round of
-the loop: looking for them among thousands takes a millisecond."""
+EVICTION_BATCH = 32
+"""Idle connections that are closed together to make room, about as many as are accepted in one
+event-loop iteration: finding them among thousands takes a millisecond."""
 
-LEAST_IDLE_MS = 250.0
-"""Time after its last answer for which a connection is not closed to make room: a caller that goes
-on at once would meet the close."""
+MIN_IDLE_MS = 250.0
+"""A connection is not closed to make room for this long after its last answer: a caller that sends
+its next request at once would find the connection closed."""
 
-LINE_MS = 1_000.0
-"""Least time between two lines about callers that are turned away; there may be 600 a second."""
+LOG_INTERVAL_MS = 1_000.0
+"""Minimum time between two log lines about rejected connections; up to 600 a second are
+rejected."""
 
 
 class CallerCrowd:
-    """The connections of all callers.
+    """Admits, counts and closes callers' connections.
 
     Parameters
     ----------
     connections
-        The set that each connection enters itself into.
+        The set to which each connection adds itself.
 
     Attributes
     ----------
     closed
         Idle connections that were closed to make room.
     turned_away
-        New connections that were closed unread, as there was no room.
+        New connections that were closed unread because the limit was reached.
     """
 
     def __init__(self, state: FleetState, connections: set[CallerConnection]) -> None:
         self._state = state
         self._connections = connections
-        self._room = 0
+        self._freed = 0
         self.turned_away = 0
-        self._line_ms = float("-inf")
+        self._logged_ms = float("-inf")
         self.closed = 0
 
     @property
     def most(self) -> float:
-        """Connections that the router bears."""
-        return CALLERS_PART * self._state.settings.descriptors
+        """Maximum number of callers' connections."""
+        return CALLER_DESCRIPTOR_FRACTION * self._state.settings.descriptors
 
     @property
     def crowded(self) -> bool:
-        """Whether it is better for callers to go elsewhere."""
-        return len(self._connections) >= CROWDED_PART * self.most
+        """Whether callers should be directed to other routers."""
+        return len(self._connections) >= CROWDED_FRACTION * self.most
 
     def admit(self) -> bool:
-        """Whether one more caller is let in; idle connections make room for it."""
+        """Whether a new connection is accepted; idle connections are closed to make room for it."""
         if len(self._connections) < self.most:
-            self._room = 0
+            self._freed = 0
             return True
-        if not self._room:
-            self._room = self._make_room()
-        if self._room:
-            self._room -= 1
+        if not self._freed:
+            self._freed = self._close_idle()
+        if self._freed:
+            self._freed -= 1
             return True
-        self._note_turned_away()
+        self._log_rejection()
         return False
 
-    def _make_room(self) -> int:
+    def _close_idle(self) -> int:
         now_ms = self._state.clock.now_ms
         idle = [
             (since_ms, id(connection), connection)
             for connection in self._connections
-            if (since_ms := connection.answered_ms) is not None
-            and now_ms - since_ms >= LEAST_IDLE_MS
+            if (since_ms := connection.answered_ms) is not None and now_ms - since_ms >= MIN_IDLE_MS
         ]
-        oldest = heapq.nsmallest(ROOM, idle)
+        oldest = heapq.nsmallest(EVICTION_BATCH, idle)
         for _, _, connection in oldest:
             connection.close_when_idle()
         self.closed += len(oldest)
         return len(oldest)
 
-    def _note_turned_away(self) -> None:
+    def _log_rejection(self) -> None:
         self.turned_away += 1
         now_ms = self._state.clock.now_ms
-        if now_ms - self._line_ms < LINE_MS:
+        if now_ms - self._logged_ms < LOG_INTERVAL_MS:
             return
-        self._line_ms = now_ms
+        self._logged_ms = now_ms
         self._state.log.event(
-            "callers were turned away",
+            "rejected connections of callers",
             connections=len(self._connections),
             busy=sum(connection.busy for connection in self._connections),
             unused=sum(connection.unused for connection in self._connections),
--- a/packages/gateway/src/tamarack_gateway/caller_handler.py
+++ b/packages/gateway/src/tamarack_gateway/caller_handler.py
@@ -1,4 +1,4 @@
-"""What becomes of a caller's request: denied, refused, or handed to an exchange."""
+"""Entry point for callers' requests: denies, refuses, or passes each one to an `Exchange`."""
 
 from __future__ import annotations
 
@@ -21,15 +21,16 @@
 from tamarack_gateway.site import RequestDialect, RequestFacts
 
 DENY_AGE_MS = 3_600.0
-"""Age of the configuration beyond which an unknown route or key is not denied, as where the newest
-one cannot be read: it may have been added since, and a caller does not come back after a denial."""
+"""With an older configuration, or if the newest one cannot be read, an unknown route or key is
+refused for now and not denied: it may have been added since, and callers do not retry after a
+denial."""
 
 OVERLOAD_RETRY_MS = 100.0
-"""Least time after which a caller of an overloaded router may come back, on a new connection and so
-most likely elsewhere; it is spread up to twice that."""
+"""Minimum delay before a caller retries after an overloaded router refused it, on a new connection
+and so most likely at another router; a random spread adds up to the same time again."""
 
 ROUTER_ENDS = "the router ends"
-"""Why a request is ended that still runs at the router's last exit, in logs and metrics."""
+"""Reason in logs and metrics for requests that are cancelled when the router exits."""
 
 
 class CallerHandler:
@@ -38,7 +39,7 @@
     Attributes
     ----------
     ending
-        Whether the router ends whatever still runs.
+        Whether the router exits and cancels the requests that still run.
     """
 
     def __init__(
@@ -65,7 +66,7 @@
         self.ending = False
 
     async def answer(self, request: Request, caller: CallerConnection) -> None:
-        """Answer one request, in whatever way."""
+        """Answer one request."""
         state, dialect = self._state, self._dialect
         facts = dialect.read(request)
         if facts is None:
@@ -74,15 +75,15 @@
         rules = state.rules
         workspace = rules.workspace_of(facts.key) if rules and facts.key is not None else None
         if self._watch.sheds(workspace):
-            # Before any other work: it has no time for more, and elsewhere there is some. The
-            # caller is told, and keeps its connection: one that is closed unread takes the address
-            # for dead, and has no other if it keeps to this one.
+            # Checked before any other work: this router is overloaded, and others may not be. The
+            # caller gets an answer and keeps its connection: a caller whose connection is closed
+            # unread takes the address for dead, and one pinned to this router has no other.
             self._refuse(
                 caller, facts.attempt, "overloaded", OVERLOAD_RETRY_MS, workspace=workspace
             )
             return
         if state.leaving is not None and not state.leaving.lingers(self._clock.now_ms):
-            # Nobody has this address by a valid answer any more; the router ends with what runs.
+            # The TTL of every answer with this address has expired; only running requests remain.
             self._refuse(caller, facts.attempt, "leaving", ELSEWHERE_MS)
             return
         if rules is None or not state.informed:
@@ -110,7 +111,7 @@
             self._log.request("caller gone", facts.attempt, reason=str(error))
             caller.cut()
         except asyncio.CancelledError:
-            self._cancelled(exchange, request, facts.attempt)
+            self._log_cancelled(exchange, request, facts.attempt)
             raise
         finally:
             self._metrics.ended(route, self._clock.now_ms - request.arrived_ms)
@@ -124,7 +125,7 @@
         workspace: str | None,
     ) -> Exchange:
         state = self._state
-        contained = Containment(state, self._witness, self._quarantine, request, facts, workspace)
+        containment = Containment(state, self._witness, self._quarantine, request, facts, workspace)
         return Exchange(
             state,
             self._dialect,
@@ -135,12 +136,12 @@
             facts,
             route,
             workspace,
-            contained,
+            containment,
         )
 
-    def _cancelled(self, exchange: Exchange, request: Request, attempt: str) -> None:
-        # A request that the router ends itself must not look as if its caller had left, or its
-        # endpoint failed: the time since the request to stop tells which it was.
+    def _log_cancelled(self, exchange: Exchange, request: Request, attempt: str) -> None:
+        # The log must distinguish a request that the exiting router cancels from one whose caller
+        # left or whose endpoint failed: the time since the router was asked to stop shows which.
         now_ms, plan = self._clock.now_ms, self._state.leaving
         ran_ms = round(now_ms - request.arrived_ms)
         if not self.ending:
@@ -148,9 +149,9 @@
             self._log.request("abandoned", attempt, reason=sent, waited_ms=ran_ms)
             return
         stopping_ms = None if plan is None else round(now_ms - plan.asked_ms)
-        became = exchange.end()
+        outcome = exchange.end()
         self._log.request(
-            became, attempt, reason=ROUTER_ENDS, stopping_ms=stopping_ms, ran_ms=ran_ms
+            outcome, attempt, reason=ROUTER_ENDS, stopping_ms=stopping_ms, ran_ms=ran_ms
         )
 
     def _deny(self, caller: CallerConnection, attempt: str, status: int) -> None:
--- a/packages/gateway/src/tamarack_gateway/connection_pool.py
+++ b/packages/gateway/src/tamarack_gateway/connection_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to endpoints."""
+"""A pool of idle connections to endpoints."""
 
 from __future__ import annotations
 
@@ -10,38 +10,41 @@
 from tamarack_gateway.endpoint_connection import EndpointConnection, open_connection
 
 CONNECT_MS = 600.0
-"""Milliseconds for a new connection: some hundred round trips between failure domains, and well
-under the time that a request has."""
+"""Timeout of a new connection in milliseconds: some hundred round trips between failure domains,
+and well below a request's deadline."""
 
-KEPT_PART = 0.8
-"""Part of the keep-alive time that an endpoint tells after which a connection is not used for a
-new request. One that the endpoint closes as the request is sent leaves it unknown whether it
-ran; the rest, two of ten seconds, is well beyond the way and a late timer."""
+KEEP_ALIVE_FRACTION = 0.8
+"""Fraction of an endpoint's keep-alive timeout for which an idle connection is reused. If the
+endpoint closes a connection as a request is sent, it is unknown whether the request ran; the
+margin, two of ten seconds, is well above the network delay and a delayed timer."""
 
-KEPT_UNTOLD_MS = 400.0
-"""The same where the endpoint tells no time; times under a second are not told."""
+DEFAULT_REUSE_MS = 400.0
+"""Reuse limit in milliseconds where the endpoint announces no keep-alive timeout; timeouts below
+one second cannot be announced."""
 
 
 class _Target(NamedTuple):
-    """Where a connection leads: which life of an endpoint, and at which address."""
+    """Peer of a connection: an incarnation of an endpoint, and its address."""
 
     key: EndpointLife
     address: str
 
 
 class ConnectionPool:
-    """Kept connections; the one used last is used first, so that the others can lapse.
+    """Idle connections; the most recently used one is reused first, so that the others can expire.
 
-    They are kept for one life of one endpoint, not for an address. The next life, or an endpoint
-    of another service, may have the same address: a connection to a process that is gone breaks
-    only when a request is sent on it, and leaves it unknown whether that ran.
+    The pool is keyed by the incarnation of an endpoint, not only by its address. The next
+    incarnation, or an endpoint of another service, may have the same address; a connection to a
+    terminated process breaks only when a request is sent on it, and leaves it unknown whether the
+    request ran.
 
     Attributes
     ----------
     opened, reused
-        How often a connection was made for a request, and how often a kept one was used.
+        Number of connections opened, and of times an idle one was reused.
     lapsed, closed
-        Kept connections that were idle for too long, and that the endpoint had closed.
+        Number of connections dropped after being idle for too long, and of those that the endpoint
+        had closed.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -53,42 +56,42 @@
         self.closed = 0
 
     def idle(self, key: EndpointLife) -> int:
-        """Connections that are kept for one life of an endpoint."""
+        """Number of idle connections to one incarnation of an endpoint."""
         return sum(len(idle) for target, idle in self._idle.items() if target.key == key)
 
     def lives(self, endpoint: Endpoint) -> bool:
-        """Whether a kept connection to an endpoint is open: all break when it ends."""
+        """Whether an idle connection to an endpoint is still open: all close when it terminates."""
         return any(connection.usable for connection in self._idle.get(_target(endpoint), []))
 
     def keep_new(self, endpoint: Endpoint, connection: EndpointConnection) -> None:
-        """Keep a connection that was made and not used for a request yet."""
+        """Add a new connection that has not been used for a request yet."""
         self.opened += 1
         connection.idle_since_ms = self._clock.now_ms
         self.put_back(endpoint, connection)
 
     async def take(self, endpoint: Endpoint) -> EndpointConnection:
-        """A connection that is fresh enough, or a new one; raises `ConnectError`."""
+        """Take an idle connection that may be reused, or open one; raises `ConnectError`."""
         idle = self._idle.get(_target(endpoint), [])
         while idle:
             connection = idle.pop()
-            if connection.usable and self._fresh(connection):
+            if connection.usable and self._is_reusable(connection):
                 self.reused += 1
                 return connection
-            self._give_up(connection)
+            self._discard(connection)
         connection = await open_connection(endpoint.address, CONNECT_MS)
         self.opened += 1
         return connection
 
     def give_back(self, endpoint: Endpoint, connection: EndpointConnection) -> None:
-        """Keep a connection whose answer has been read, if it may be used again."""
+        """Return a connection whose answer has been read, if it may be reused."""
         if connection.finish(self._clock.now_ms):
             self._idle.setdefault(_target(endpoint), []).append(connection)
 
     def put_back(self, endpoint: Endpoint, connection: EndpointConnection) -> None:
-        """Keep a connection that was taken and not used.
+        """Return a connection that was taken and not used.
 
-        Its idle time runs on: the endpoint counts it from the last answer, and a request that is
-        sent as the endpoint closes may have run or not.
+        Its idle time is not reset: the endpoint counts it from the last answer, and a request sent
+        as the endpoint closes the connection may or may not run.
         """
         if connection.usable:
             self._idle.setdefault(_target(endpoint), []).append(connection)
@@ -96,20 +99,26 @@
             connection.abort()
 
     def sweep(self, lives: Callable[[EndpointLife], bool]) -> None:
-        """Close what has been idle for too long, and what leads to a life that is over."""
+        """Close connections that were idle for too long or belong to an ended incarnation.
+
+        Parameters
+        ----------
+        lives
+            Whether an incarnation is still running.
+        """
         for target, idle in list(self._idle.items()):
-            there = lives(target.key)
-            fresh = [c for c in idle if there and c.usable and self._fresh(c)]
+            is_running = lives(target.key)
+            fresh = [c for c in idle if is_running and c.usable and self._is_reusable(c)]
             for connection in idle:
                 if connection not in fresh:
-                    self._give_up(connection)
+                    self._discard(connection)
             if fresh:
                 self._idle[target] = fresh
             else:
                 del self._idle[target]
 
     def drop(self, endpoint: Endpoint) -> None:
-        """Close the idle connections to an endpoint that has failed."""
+        """Close the idle connections to a failed endpoint."""
         for connection in self._idle.pop(_target(endpoint), []):
             connection.abort()
 
@@ -120,16 +129,16 @@
                 connection.abort()
         self._idle.clear()
 
-    def _give_up(self, connection: EndpointConnection) -> None:
+    def _discard(self, connection: EndpointConnection) -> None:
         if connection.usable:
             self.lapsed += 1
         else:
             self.closed += 1
         connection.abort()
 
-    def _fresh(self, connection: EndpointConnection) -> bool:
-        told = connection.keep_alive_ms
-        limit_ms = KEPT_UNTOLD_MS if told is None else told * KEPT_PART
+    def _is_reusable(self, connection: EndpointConnection) -> bool:
+        timeout_ms = connection.keep_alive_ms
+        limit_ms = DEFAULT_REUSE_MS if timeout_ms is None else timeout_ms * KEEP_ALIVE_FRACTION
         return self._clock.now_ms - connection.idle_since_ms < limit_ms
 
 
--- a/packages/gateway/src/tamarack_gateway/containment.py
+++ b/packages/gateway/src/tamarack_gateway/containment.py
@@ -1,4 +1,4 @@
-"""One request and the quarantine: how it is treated, and what its sends show."""
+"""Applies the quarantine to one request, and reports to it how the request's sends ended."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from tamarack_gateway.site import RequestFacts
 
 EARLY_MS = 500.0
-"""Time after its first event up to which a request counts as having only begun. Those that ended
-the users' engines did so 50 to 110 ms after they had begun to run."""
+"""A request whose first event is younger than this counts as having just begun to run. Requests
+that crash engines do so 50 to 110 ms after they begin to run."""
 
 
 class Containment:
-    """Asks and tells the quarantine on behalf of one request.
+    """Connects one request to the quarantine.
 
     Parameters
     ----------
     workspace
-        Workspace of the caller's key; None for a request without one.
+        Workspace of the caller's key; None for a request without a key.
     """
 
     def __init__(
@@ -47,20 +47,20 @@
         self._attempt = facts.attempt
         self._workspace = workspace
         self._standing = FREE
-        self._apart_at: EndpointLife | None = None
+        self._isolated_at: EndpointLife | None = None
 
     @cached_property
     def fingerprint(self) -> str:
-        """What names the request across its repeats; made only where it is asked for."""
+        """Identifies the request across retries; computed on first use."""
         request = self._request
         return fingerprint(
             self._workspace, self._host, request.method, request.target, request.body
         )
 
     def look(self) -> Standing:
-        """How the request is treated now; asked again before each send and after each wait."""
+        """Treatment of the request now; checked before each send and after each wait."""
         if self._standing.treatment is Treatment.TRIAL:
-            # Given once in a long time: what it waits for meanwhile must not use it up.
+            # A trial is granted rarely: it stays granted while the request waits for other reasons.
             return self._standing
         self._standing = FREE
         if self._quarantine.watching:
@@ -69,39 +69,39 @@
         return self._standing
 
     def among(self, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
-        """Endpoints that the request may go to, of some: a suspect has one."""
+        """Those of `endpoints` that the request may be sent to; a suspect is confined to one."""
         if self._standing.treatment not in (Treatment.APART, Treatment.TRIAL) or not endpoints:
             return endpoints
         key = self._quarantine.place(self.fingerprint, [endpoint.key for endpoint in endpoints])
         return [endpoint for endpoint in endpoints if endpoint.key == key]
 
     def sent(self, endpoint: Endpoint) -> None:
-        """Take in that the request is sent."""
+        """Record that the request is sent to an endpoint."""
         if self._standing.treatment in (Treatment.APART, Treatment.TRIAL):
-            self._apart_at = endpoint.key
+            self._isolated_at = endpoint.key
             self._quarantine.begun(self.fingerprint, endpoint.key)
         self._standing = FREE
 
     def ended(self) -> None:
-        """Take in that a send has ended in whatever way; called once for each `sent`."""
-        if self._apart_at is not None:
-            self._quarantine.finished(self.fingerprint, self._apart_at)
-            self._apart_at = None
+        """Record the end of a send, whatever its result; called once for each `sent`."""
+        if self._isolated_at is not None:
+            self._quarantine.finished(self.fingerprint, self._isolated_at)
+            self._isolated_at = None
 
     def answered(self) -> None:
-        """Take in that an endpoint answered, with whatever status, and goes on."""
+        """Record that an endpoint answered with any status and did not crash."""
         if self._quarantine.watching:
             self._feed.answered(self.fingerprint)
 
     async def lost(self, endpoint: Endpoint, running_ms: float | None, sent_ms: float) -> bool:
-        """Take in that an answer broke off, and tell whether its endpoint has ended.
+        """Record that an answer broke off; returns whether its endpoint has terminated.
 
         Parameters
         ----------
         running_ms
-            Time since its first event; None before that.
+            Time since its first event; None before the first event.
         sent_ms
-            When it was sent there.
+            Time at which the request was sent to the endpoint.
         """
         early = running_ms is None or running_ms < EARLY_MS
         aboard = Aboard(self.fingerprint, self._workspace or "", early)
@@ -118,7 +118,7 @@
         return ended
 
     def refused(self, sends: int) -> None:
-        """Log that the request is not sent, or not again."""
+        """Log that the quarantine rejects the request, before its first send or a retry."""
         self._state.log.request(
             "quarantined",
             self._attempt,
--- a/packages/gateway/src/tamarack_gateway/end_witness.py
+++ b/packages/gateway/src/tamarack_gateway/end_witness.py
@@ -1,8 +1,9 @@
-"""Whether an endpoint has ended, asked when an answer breaks off in the middle.
+"""Detects whether an endpoint has terminated after one of its answers breaks off.
 
-Endpoints also reset connections, spoil answers and fall silent, and paths are cut: a broken answer
-by itself proves no end. What does: that nobody listens at the address any more, that whatever does
-closes a new connection at once, or that the list tells of another life under the same name.
+A broken answer alone is no evidence of a termination: a live endpoint may reset a connection, send
+a malformed answer or stop sending, and the network path may fail. An endpoint counts as terminated
+if its address refuses connections, if a new connection is closed at once, or if another incarnation
+is listed under its name.
 """
 
 from __future__ import annotations
@@ -17,50 +18,51 @@
 from tamarack_gateway.endpoint_connection import ConnectError, RefusedError, open_connection
 from tamarack_gateway.fleet_state import FleetState
 
-GATHER_MS = 10.0
-"""Time from the first answer that breaks off to the look at the endpoint: the others that it had
-from this router break off with it, and are told of in one message."""
+CHECK_DELAY_MS = 10.0
+"""Delay from the first broken answer to the check of the endpoint: this router's other answers from
+it break off too, and are reported in one message."""
 
-LOOK_MS = 250.0
-"""Longest time for the connection that tells; a caller's repeat waits for it."""
+CHECK_TIMEOUT_MS = 250.0
+"""Timeout of the connection that checks the endpoint; a retry of the request waits for it."""
 
-CLOSED_MS = 30.0
-"""Time within which a new connection that leads to no process is closed, where something between
-the router and the endpoint accepts it first. A full endpoint closes new connections, too, but does
-not break off what it runs, nor close all that were kept."""
+IMMEDIATE_CLOSE_MS = 30.0
+"""A new connection that is closed within this time has no process behind it, where a proxy between
+the router and the endpoint accepts it first. A full endpoint closes new connections as well, but
+does not break off running requests or close all idle connections."""
 
-UNPROVED_MS = 5_000.0
-"""Time for which broken answers are kept that no end was proved for: an entry lapses after three
-missed heartbeats, 3.6 s, or is replaced by the next life's before."""
+UNCONFIRMED_MS = 5_000.0
+"""Time for which broken answers are kept while no termination is confirmed: the endpoint's entry
+expires after three missed heartbeats, 3.6 s, or the next incarnation's replaces it before."""
 
 BURST_MS = 200.0
-"""Time before the last broken answer of a life from which on others count as broken by its end."""
+"""Answers of an incarnation that broke off within this time before the last one count as broken by
+its termination."""
 
-KNOWN_MS = 2_000.0
-"""Time for which what was found of one life holds for answers that break off later: slow callers'
-streams are read to their end first."""
+CONFIRMED_MS = 2_000.0
+"""Time for which a confirmed termination also applies to answers that break off later: the streams
+of slow callers are read to their end first."""
 
-TOGETHER_MS = 50.0
-"""Time between the first broken answers of two endpoints within which they ended together. One
-router sees the ends of a failure of machines within the same turn of its loop, some 20 ms when
-busy."""
+SIMULTANEOUS_MS = 50.0
+"""Endpoints whose first broken answers are at most this far apart terminated together. A router
+sees the terminations of an instance failure within one iteration of its event loop, some 20 ms
+under load."""
 
 
-class _Lost(NamedTuple):
-    """An answer that broke off, to a request sent at `sent_ms`."""
+class _BrokenAnswer(NamedTuple):
+    """An answer that broke off at `at_ms`, to a request sent at `sent_ms`."""
 
     aboard: Aboard
     at_ms: float
     sent_ms: float
 
 
-class _Look:
-    """What is found of one life of an endpoint after an answer broke off."""
+class _Check:
+    """The check of one incarnation of an endpoint after an answer broke off."""
 
     def __init__(self, endpoint: Endpoint, first_ms: float) -> None:
         self.endpoint = endpoint
         self.first_ms = first_ms
-        self.lost: list[_Lost] = []
+        self.lost: list[_BrokenAnswer] = []
         self.together = False
         self.refused = False
         self.delisted = False
@@ -68,14 +70,14 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the endpoint was found to have ended."""
+        """Whether the check confirmed that the endpoint terminated."""
         return self.task.done() and not self.task.cancelled() and self.task.result()
 
-    def follows(self, other: _Look) -> bool:
-        """Whether a request was sent here after the other end had cut it: it may have ended both.
+    def shares_cause_with(self, other: _Check) -> bool:
+        """Whether a request cut by the other termination was sent here later: it may cause both.
 
-        One that ends endpoints within a few milliseconds is through with the next one before
-        `TOGETHER_MS` is over, and its ends would count like those of a failure of machines.
+        A request that crashes endpoints within a few milliseconds crashes the next one before
+        `SIMULTANEOUS_MS` is over, and the crashes would count as an instance failure.
         """
         cut = {lost.aboard.fingerprint for lost in other.lost}
         return any(
@@ -83,19 +85,19 @@
         )
 
     @property
-    def burst(self) -> list[_Lost]:
-        """The answers that broke off last, and shortly before."""
+    def burst(self) -> list[_BrokenAnswer]:
+        """Answers that broke off at most `BURST_MS` before the last one."""
         last_ms = max((lost.at_ms for lost in self.lost), default=0.0)
         return [lost for lost in self.lost if last_ms - lost.at_ms <= BURST_MS]
 
 
 class EndWitness:
-    """Finds out for one router which endpoints have ended.
+    """Detects for one router which endpoints have terminated.
 
     Parameters
     ----------
     took
-        Called with each end, and again with what is learned of it later.
+        Called with each termination, and again with later findings about it.
     """
 
     def __init__(
@@ -103,104 +105,109 @@
     ) -> None:
         self._state = state
         self._pool = pool
-        self._took = took
-        self._looks: dict[EndpointLife, _Look] = {}
-        self._unproved: dict[EndpointLife, _Look] = {}
-        state.on_life_over = self._life_over
+        self._on_termination = took
+        self._checks: dict[EndpointLife, _Check] = {}
+        self._unconfirmed: dict[EndpointLife, _Check] = {}
+        state.on_life_over = self._incarnation_over
 
     async def lost(self, endpoint: Endpoint, aboard: Aboard, sent_ms: float) -> bool:
-        """Take in that an answer broke off, and tell whether its endpoint has ended."""
+        """Record that an answer broke off; returns whether its endpoint has terminated."""
         now_ms = self._state.clock.now_ms
-        look = self._looks.get(endpoint.key)
+        check = self._checks.get(endpoint.key)
         known_ms = self._state.ended_ms(endpoint.key)
         if known_ms is not None and sent_ms >= known_ms:
-            # Something before the endpoint took it, which had ended already and ran nothing.
+            # A proxy accepted the request after the endpoint had terminated; it never ran.
             return True
-        if look is None:
-            look = self._begin(endpoint, now_ms)
-        elif look.ended:
-            self._tell(look, [_Lost(aboard, now_ms, sent_ms)])
+        if check is None:
+            check = self._begin(endpoint, now_ms)
+        elif check.ended:
+            self._report(check, [_BrokenAnswer(aboard, now_ms, sent_ms)])
             return True
-        look.lost.append(_Lost(aboard, now_ms, sent_ms))
-        return await asyncio.shield(look.task)
+        check.lost.append(_BrokenAnswer(aboard, now_ms, sent_ms))
+        return await asyncio.shield(check.task)
 
     async def close(self) -> None:
-        """Stop looking."""
-        tasks = [look.task for look in self._looks.values()]
+        """Cancel all checks."""
+        tasks = [check.task for check in self._checks.values()]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _begin(self, endpoint: Endpoint, now_ms: float) -> _Look:
-        look = self._looks[endpoint.key] = _Look(endpoint, now_ms)
-        look.task = asyncio.ensure_future(self._look(look))
-        return look
-
-    async def _look(self, look: _Look) -> bool:
-        await asyncio.sleep(GATHER_MS / 1000)
-        endpoint, loop = look.endpoint, asyncio.get_running_loop()
-        if self._pool.lives(endpoint) or not await self._is_gone(look):
-            self._looks.pop(endpoint.key, None)
-            self._keep_unproved(look)
+    def _begin(self, endpoint: Endpoint, now_ms: float) -> _Check:
+        check = self._checks[endpoint.key] = _Check(endpoint, now_ms)
+        check.task = asyncio.ensure_future(self._run_check(check))
+        return check
+
+    async def _run_check(self, check: _Check) -> bool:
+        await asyncio.sleep(CHECK_DELAY_MS / 1000)
+        endpoint, loop = check.endpoint, asyncio.get_running_loop()
+        if self._pool.lives(endpoint) or not await self._has_terminated(check):
+            self._checks.pop(endpoint.key, None)
+            self._keep_unconfirmed(check)
             return False
-        loop.call_later(KNOWN_MS / 1000, self._looks.pop, endpoint.key, None)
+        loop.call_later(CONFIRMED_MS / 1000, self._checks.pop, endpoint.key, None)
         self._pool.drop(endpoint)
-        self._mark_together(look)
-        self._tell(look, look.lost)
+        self._mark_simultaneous(check)
+        self._report(check, check.lost)
         return True
 
-    async def _is_gone(self, look: _Look) -> bool:
+    async def _has_terminated(self, check: _Check) -> bool:
         try:
-            connection = await open_connection(look.endpoint.address, LOOK_MS)
+            connection = await open_connection(check.endpoint.address, CHECK_TIMEOUT_MS)
         except RefusedError:
-            look.refused = True
+            check.refused = True
             return True
         except ConnectError:
-            # No answer may mean that the path is cut; with the entry gone as well, the endpoint is.
-            return look.delisted
+            # A timeout alone may be a network failure; with the entry removed as well, the endpoint
+            # has terminated.
+            return check.delisted
         try:
-            async with asyncio.timeout(CLOSED_MS / 1000):
+            async with asyncio.timeout(IMMEDIATE_CLOSE_MS / 1000):
                 await connection.closed()
         except TimeoutError:
-            self._pool.keep_new(look.endpoint, connection)
+            self._pool.keep_new(check.endpoint, connection)
             return False
         return True
 
-    def _mark_together(self, look: _Look) -> None:
-        for other in list(self._looks.values()):
-            near = abs(other.first_ms - look.first_ms) <= TOGETHER_MS
-            if other is look or not near or not other.ended or look.follows(other):
+    def _mark_simultaneous(self, check: _Check) -> None:
+        for other in list(self._checks.values()):
+            near = abs(other.first_ms - check.first_ms) <= SIMULTANEOUS_MS
+            if other is check or not near or not other.ended or check.shares_cause_with(other):
                 continue
-            look.together = True
+            check.together = True
             if not other.together:
                 other.together = True
-                self._tell(other, [])
+                self._report(other, [])
 
-    # ends that are proved later
+    # terminations that are confirmed later
 
-    def _keep_unproved(self, look: _Look) -> None:
-        known = self._unproved.setdefault(look.endpoint.key, look)
-        if known is not look:
-            known.lost += look.lost
-        past_ms = self._state.clock.now_ms - UNPROVED_MS
-        for key, old in list(self._unproved.items()):
-            # A look takes a while, after which what it was about may be too old as well.
+    def _keep_unconfirmed(self, check: _Check) -> None:
+        known = self._unconfirmed.setdefault(check.endpoint.key, check)
+        if known is not check:
+            known.lost += check.lost
+        past_ms = self._state.clock.now_ms - UNCONFIRMED_MS
+        for key, old in list(self._unconfirmed.items()):
+            # The check itself takes time, so that its own answers may be too old as well.
             old.lost = [lost for lost in old.lost if lost.at_ms >= past_ms]
             if not old.lost:
-                del self._unproved[key]
+                del self._unconfirmed[key]
 
-    def _life_over(self, key: EndpointLife, replaced: bool) -> None:
-        look = self._unproved.pop(key, None)
+    def _incarnation_over(self, key: EndpointLife, replaced: bool) -> None:
+        check = self._unconfirmed.pop(key, None)
         now_ms = self._state.clock.now_ms
-        if look is None or look.endpoint.draining or look.lost[-1].at_ms < now_ms - UNPROVED_MS:
+        if (
+            check is None
+            or check.endpoint.draining
+            or check.lost[-1].at_ms < now_ms - UNCONFIRMED_MS
+        ):
             return
         if replaced:
-            self._tell(look, look.burst)
+            self._report(check, check.burst)
         else:
-            # An entry is taken out, too, of one that leaves and still serves for a while.
-            again = self._begin(look.endpoint, look.first_ms)
-            again.lost, again.delisted = look.burst, True
+            # An endpoint that leaves also removes its entry, and still serves for a while.
+            recheck = self._begin(check.endpoint, check.first_ms)
+            recheck.lost, recheck.delisted = check.burst, True
 
-    def _tell(self, look: _Look, lost: list[_Lost]) -> None:
-        key, aboard = look.endpoint.key, [one.aboard for one in lost]
-        self._took(End(key.name, key.life, look.together, aboard, look.refused))
+    def _report(self, check: _Check, lost: list[_BrokenAnswer]) -> None:
+        key, aboard = check.endpoint.key, [one.aboard for one in lost]
+        self._on_termination(End(key.name, key.life, check.together, aboard, check.refused))
--- a/packages/gateway/src/tamarack_gateway/endpoint_connection.py
+++ b/packages/gateway/src/tamarack_gateway/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an endpoint or to the platform's store; one request at a time."""
+"""A client connection to an endpoint or to the platform's store; one request at a time."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 from tamarack_gateway.http_messages import AnswerHead, Headers
 
 USER_TIMEOUT_MS = 2_500
-"""Milliseconds that sent bytes may stay unacknowledged. A peer without power or behind a cut does
-not answer at all, and without this the connection would hang for many minutes."""
+"""Milliseconds for which sent bytes may stay unacknowledged. A peer that lost power or is
+partitioned away sends nothing at all, and without this limit the connection would hang for many
+minutes."""
 
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_PROBES = 2
-"""An open connection can go silent for good without a reset; probes each second end it after
-three."""
+"""An open connection can stop responding without a reset; one probe per second closes it after
+three seconds."""
 
 
 class ConnectError(ConnectionError):
@@ -28,19 +29,19 @@
 
 
 class RefusedError(ConnectError):
-    """Nobody listens at the address: the process that did has ended."""
+    """The connection was refused: no process listens at the address."""
 
 
 class BrokenAnswerError(ConnectionError):
-    """The connection ended, or its bytes were no answer, before the answer was whole."""
+    """The connection closed, or its bytes were no valid answer, before the answer was complete."""
 
 
 class ConnectionLostError(BrokenAnswerError):
-    """The connection ended before the answer was whole: the endpoint may have ended, too."""
+    """The connection closed before the answer was complete: the endpoint may have terminated."""
 
 
 class EndpointConnection(asyncio.Protocol):
-    """One kept connection; opened with `open_connection`."""
+    """One persistent connection; opened with `open_connection`."""
 
     def __init__(self) -> None:
         self._transport: Any = None
@@ -48,12 +49,12 @@
         self._headers: Headers = []
         self._head: AnswerHead | None = None
         self._pieces: deque[bytes] = deque()
-        self._whole = False
+        self._complete = False
         self._error: Exception | None = None
         self._waiter: asyncio.Future[None] | None = None
-        self._take: Callable[[bytes], None] | None = None
+        self._consumer: Callable[[bytes], None] | None = None
         self._expecting = False
-        self._keep = False
+        self._reusable = False
         self.idle_since_ms = 0.0
         self.keep_alive_ms: float | None = None
 
@@ -65,48 +66,48 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        if self._expecting and not self._whole:
-            self._end_with_connection(exc)
+        if self._expecting and not self._complete:
+            self._handle_early_close(exc)
         self._wake()
 
     def data_received(self, data: bytes) -> None:
-        if not self._expecting or self._whole:
-            # Bytes that nobody waits for belong to no request: whatever comes next here could be
-            # taken for the answer to another one.
+        if not self._expecting or self._complete:
+            # Unexpected bytes belong to no request: what follows on this connection could be taken
+            # for the answer to another request.
             self.abort()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            if not self._whole:
+            if not self._complete:
                 self._error = BrokenAnswerError(str(error) or "not an answer")
             self.abort()
-        if self._take is None:
+        if self._consumer is None:
             self._wake()
             return
-        self._hand_over(self._take)
-        if self._whole or self._error is not None:
+        self._deliver_pending(self._consumer)
+        if self._complete or self._error is not None:
             self._wake()
 
     # httptools callbacks
 
     def on_message_begin(self) -> None:
-        if self._whole:
-            self._keep = False
+        if self._complete:
+            self._reusable = False
             return
         self._headers = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self._whole:
+        if not self._complete:
             self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        if self._whole:
+        if self._complete:
             return
         status = self._parser.get_status_code()
         if 100 <= status < 200:
             return
-        self._keep = self._parser.should_keep_alive()
+        self._reusable = self._parser.should_keep_alive()
         length, chunked = None, False
         for name, value in self._headers:
             if name == b"content-length" and value.isdigit():
@@ -118,31 +119,31 @@
         self._head = AnswerHead(status, self._headers, length, chunked)
 
     def on_body(self, body: bytes) -> None:
-        if not self._whole:
+        if not self._complete:
             self._pieces.append(body)
 
     def on_message_complete(self) -> None:
         if self._head is None:
             return
-        if self._whole:
-            self._keep = False
-        self._whole = True
+        if self._complete:
+            self._reusable = False
+        self._complete = True
 
-    # what tasks call
+    # called by tasks
 
     @property
     def usable(self) -> bool:
-        """Whether another request may be sent on it."""
+        """Whether the connection is open and no answer is expected."""
         open_ = self._transport is not None and not self._transport.is_closing()
         return open_ and not self._expecting
 
     def send(self, data: bytes) -> None:
-        """Write one request; its answer is read with `head` and `piece`."""
+        """Write one request; read its answer with `head`, then `piece`, `body` or `deliver`."""
         if not self.usable:
             raise BrokenAnswerError("the connection is closed")
-        self._head, self._whole, self._error = None, False, None
+        self._head, self._complete, self._error = None, False, None
         self._pieces.clear()
-        self._take = None
+        self._consumer = None
         self._expecting = True
         self._transport.write(data)
 
@@ -156,7 +157,7 @@
     async def piece(self) -> bytes | None:
         """Wait for more of the body; None at its end."""
         while not self._pieces:
-            if self._whole:
+            if self._complete:
                 return None
             self._check()
             await self._wait()
@@ -165,26 +166,27 @@
         return pieces
 
     def deliver(self, take: Callable[[bytes], None]) -> None:
-        """Hand the body to `take` as it comes, in place of `piece`; `whole` waits for its end.
+        """Pass the body to `take` as it arrives, instead of `piece`; `whole` waits for its end.
 
-        What `take` raises breaks the answer off, and `whole` raises it.
+        A `ConnectionError` or `ValueError` from `take` aborts the connection, and `whole` raises
+        it.
         """
-        self._take = take
-        self._hand_over(take)
+        self._consumer = take
+        self._deliver_pending(take)
 
     async def whole(self) -> None:
-        """Wait for the end of a body that is delivered."""
-        while self._error is not None or not self._whole:
+        """Wait for the end of a body that is passed on by `deliver`."""
+        while self._error is not None or not self._complete:
             self._check()
             await self._wait()
 
     def pause(self) -> None:
-        """Read no more until `resume`."""
+        """Stop reading until `resume`."""
         if self._transport is not None:
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
         if self._transport is not None:
             self._transport.resume_reading()
 
@@ -196,29 +198,29 @@
         return b"".join(pieces)
 
     def finish(self, now_ms: float) -> bool:
-        """Give the connection back after a whole answer; False if it must not be used again."""
+        """Mark the connection idle after a complete answer; returns whether it may be reused."""
         sent_all = self._transport is not None and not self._transport.get_write_buffer_size()
-        if not (self._whole and self._keep and sent_all):
+        if not (self._complete and self._reusable and sent_all):
             self.abort()
             return False
-        # A caller that read slowly may have paused it with the answer's last bytes.
+        # A slow caller may have paused reading at the last bytes of the answer.
         self.resume()
-        self._take = None
+        self._consumer = None
         self._expecting = False
         self.idle_since_ms = now_ms
         return self.usable
 
     async def closed(self) -> None:
-        """Wait until the connection is closed, on which no request was sent."""
+        """Wait until the connection closes; no request may have been sent on it."""
         while self._transport is not None:
             await self._wait()
 
     def abort(self) -> None:
-        """Close at once; what runs at the other end is given up."""
+        """Close at once; abandons the request that runs at the other end."""
         if self._transport is not None:
             self._transport.abort()
 
-    def _hand_over(self, take: Callable[[bytes], None]) -> None:
+    def _deliver_pending(self, take: Callable[[bytes], None]) -> None:
         if not self._pieces:
             return
         pieces = b"".join(self._pieces)
@@ -229,14 +231,14 @@
             self._error = error
             self.abort()
 
-    def _end_with_connection(self, exc: Exception | None) -> None:
+    def _handle_early_close(self, exc: Exception | None) -> None:
         head = self._head
         unframed = head is not None and head.length is None and not head.chunked
         if unframed and exc is None and self._error is None:
-            # Only an orderly close is the end of a body without a length; after a reset bytes
+            # Only an orderly close marks the end of a body without a length; after a reset, bytes
             # may be missing.
-            self._whole = True
-            self._keep = False
+            self._complete = True
+            self._reusable = False
             return
         if self._error is None:
             self._error = ConnectionLostError(str(exc) if exc else "the connection was closed")
@@ -274,7 +276,7 @@
 
 
 def watch_silence(sock: socket.socket) -> None:
-    """Have the kernel notice a peer that has gone silent."""
+    """Set socket options so that the kernel detects a peer that stopped responding."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/packages/gateway/src/tamarack_gateway/engine_gate.py
+++ b/packages/gateway/src/tamarack_gateway/engine_gate.py
@@ -1,4 +1,4 @@
-"""Whether one request may go to an engine now, and the log of why not."""
+"""Admission of one request to an engine, and the log of requests that are queued or rejected."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class EngineGate:
-    """Decides for one request whether it is sent, held back or refused.
+    """Decides whether one request is sent, queued at the router or rejected.
 
     Parameters
     ----------
     workspace
-        Workspace of the caller's key; None for a request without one.
+        Workspace of the caller's key; None for a request without a key.
     """
 
     def __init__(
@@ -43,7 +43,13 @@
     def place(
         self, endpoints: Sequence[Endpoint], prompt: Prompt, left_ms: float
     ) -> AdmittedPlacement | None:
-        """Pick an engine and decide on sending there, with `left_ms` to the deadline."""
+        """Pick an engine and decide on admission there.
+
+        Parameters
+        ----------
+        left_ms
+            Time left until the request's deadline.
+        """
         state, now_ms = self._state, self._state.clock.now_ms
         aim_ms = self._route.aim_ms
         terms = Terms(
@@ -58,7 +64,7 @@
         engines = Engines(endpoints, state.models, state.records)
         placement = place_admitted(prompt, engines, position, terms, now_ms)
         if placement is not None and placement.decision.verdict is not Admission.ADMITTED:
-            self._log(prompt, placement)
+            self._log_decision(prompt, placement)
         return placement
 
     def _position(self, now_ms: float) -> Position:
@@ -68,9 +74,10 @@
         shares = state.shares.of(self._service)
         return shares.position(self._workspace, state.throughput(self._service), now_ms)
 
-    def _log(self, prompt: Prompt, placement: AdmittedPlacement) -> None:
-        # The shortest wait anywhere tells a full service from one whose free engines do not keep
-        # this prompt's parts; the bound and the lead tell whose work the queue was kept free for.
+    def _log_decision(self, prompt: Prompt, placement: AdmittedPlacement) -> None:
+        # The shortest queue of any engine distinguishes a full service from one whose idle engines
+        # have not cached this prompt; the bound and the lead (service relative to the least-served
+        # backlogged workspace) show for whom the queue was kept short.
         state, (choice, decision, position) = self._state, placement
         state.log.request(
             decision.verdict.value,
--- a/packages/gateway/src/tamarack_gateway/event_relay.py
+++ b/packages/gateway/src/tamarack_gateway/event_relay.py
@@ -1,4 +1,4 @@
-"""Passes the events of one stream on from an endpoint to the caller, as they come."""
+"""Relays the events of one stream from an endpoint to the caller as they arrive."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class EventRelay:
-    """One send's stream, written to the caller as it is read.
+    """Relays the stream of one send to the caller.
 
-    Events are written where they are read, in one callback of the loop: a task that is woken for
-    each of them, with a timer for its silence, costs as much processor time as reading and writing
-    together, and most of a router's work is streams.
+    Events are written in the event-loop callback that reads them: waking a task for each event,
+    with a timer for its timeout, costs as much CPU time as reading and writing together, and most
+    of a router's work is relaying streams.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
     Attributes
     ----------
     first_ms
-        When the first event came; None before.
+        Time at which the first event arrived; None before.
     """
 
     def __init__(
@@ -49,41 +49,41 @@
         self._splitter = splitter
         self._clock = clock
         self._on_first = on_first
-        self._heard_ms = clock.now_ms
+        self._received_ms = clock.now_ms
         self.first_ms: float | None = None
         splitter.restart()
 
     @property
     def silent_ms(self) -> float:
-        """Time since the endpoint's last bytes, as far as they were waited for."""
-        return self._clock.now_ms - self._heard_ms if self._caller.writable else 0.0
+        """Time since the endpoint's last bytes; 0 while reading is paused for a slow caller."""
+        return self._clock.now_ms - self._received_ms if self._caller.writable else 0.0
 
     async def whole(self) -> None:
-        """Pass events on until the answer is whole; raises `BrokenAnswerError` if it breaks off."""
-        self._connection.deliver(self._take)
+        """Relay events to the end of the answer; raises `BrokenAnswerError` if it breaks off."""
+        self._connection.deliver(self._on_data)
         await self._connection.whole()
 
     def end(self) -> None:
-        """End the caller's answer; raises `BrokenAnswerError` if the stream ends in an event."""
+        """End the caller's answer; raises `BrokenAnswerError` if the last event is incomplete."""
         if self._splitter.rest:
             raise BrokenAnswerError("the stream ends inside an event")
         if not self._caller.begun:
             self._answer.pass_on(self._head, [])
         self._caller.end()
 
-    def _take(self, data: bytes) -> None:
-        self._heard_ms = self._clock.now_ms
+    def _on_data(self, data: bytes) -> None:
+        self._received_ms = self._clock.now_ms
         events = self._splitter.feed(data)
         if not events:
             return
         if self.first_ms is None:
-            self.first_ms = self._heard_ms
+            self.first_ms = self._received_ms
             self._on_first()
         self._answer.pass_on(self._head, events)
         if not self._caller.writable:
             self._connection.pause()
-            self._caller.on_writable = self._go_on
+            self._caller.on_writable = self._resume
 
-    def _go_on(self) -> None:
-        self._heard_ms = self._clock.now_ms
+    def _resume(self) -> None:
+        self._received_ms = self._clock.now_ms
         self._connection.resume()
--- a/packages/gateway/src/tamarack_gateway/event_splitter.py
+++ b/packages/gateway/src/tamarack_gateway/event_splitter.py
@@ -1,4 +1,4 @@
-"""Whole events out of the bytes of an event stream."""
+"""Splits the bytes of an event stream into complete events."""
 
 from __future__ import annotations
 
@@ -6,66 +6,66 @@
 from typing import NamedTuple
 
 EVENT_BYTES = 1_000_000
-"""An event larger than this is not one; without a bound a faulty endpoint could fill the memory."""
+"""Maximum size of an event; without a limit a faulty endpoint could exhaust the memory."""
 
 
-NUMBER = re.compile(rb"^id:[ \t\r\f\v]*([0-9]+)[ \t\r\f\v]*$", re.MULTILINE)
-"""The line of an event that tells its id."""
+ID_LINE = re.compile(rb"^id:[ \t\r\f\v]*([0-9]+)[ \t\r\f\v]*$", re.MULTILINE)
+"""The `id` line of an event."""
 
 
 class Event(NamedTuple):
-    """One event: its id, None where it has none, and all of its bytes."""
+    """One event: its id, None if it has none, and its bytes."""
 
     number: int | None
     data: bytes
 
 
 class BadStreamError(ValueError):
-    """The bytes are no event stream, or its ids do not rise."""
+    """The bytes are no valid event stream, or its event ids are not consecutive."""
 
 
 class EventSplitter:
-    """Cuts a stream into events and checks that their ids rise by one.
+    """Splits a stream into events and checks that their ids are consecutive.
 
     Parameters
     ----------
     last
-        Id of the last event that the caller has; None if it has none.
+        Id of the last event that the caller has received; None if there is none.
     """
 
     def __init__(self, last: int | None = None) -> None:
         self._last = last
-        self._rest = b""
+        self._partial = b""
 
     @property
     def last(self) -> int | None:
-        """Id of the last whole event."""
+        """Id of the last complete event."""
         return self._last
 
     @property
     def rest(self) -> bytes:
-        """Bytes of an event that is not whole."""
-        return self._rest
+        """Bytes of an incomplete event."""
+        return self._partial
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take in bytes; returns the events that they complete."""
-        data = self._rest + data
+        """Add bytes; returns the events that they complete."""
+        data = self._partial + data
         events = []
         start = 0
         while (end := data.find(b"\n\n", start)) >= 0:
             events.append(self._event(data[start : end + 2]))
             start = end + 2
-        self._rest = data[start:]
-        if len(self._rest) > EVENT_BYTES:
+        self._partial = data[start:]
+        if len(self._partial) > EVENT_BYTES:
             raise BadStreamError("an event is too large")
         return events
 
     def restart(self) -> None:
-        """Forget the bytes of a broken event; another endpoint sends it again."""
-        self._rest = b""
+        """Discard an incomplete event; the next endpoint sends it again."""
+        self._partial = b""
 
     def _event(self, raw: bytes) -> Event:
-        ids = NUMBER.findall(raw)
+        ids = ID_LINE.findall(raw)
         number = int(ids[-1]) if ids else None
         if number is not None:
             if self._last is not None and number != self._last + 1:
--- a/packages/gateway/src/tamarack_gateway/exchange.py
+++ b/packages/gateway/src/tamarack_gateway/exchange.py
@@ -1,4 +1,4 @@
-"""The life of one request: placed, sent, perhaps sent again, and answered."""
+"""Handles one request: picks an endpoint, sends the request, retries it, and answers the caller."""
 
 from __future__ import annotations
 
@@ -36,25 +36,27 @@
 from tamarack_gateway.time_to_end import TimeToEnd
 
 DEADLINE_MARGIN_MS = 15.0
-"""What an endpoint is told less than what is left: the way back takes a few milliseconds."""
+"""Subtracted from the deadline sent to an endpoint: its answer takes a few milliseconds to come
+back."""
 
-LEAST_LEFT_MS = 30.0
-"""Time left below which a request is not sent on: nothing answers in less."""
+MIN_TIME_LEFT_MS = 30.0
+"""A request with less time left is not sent: no endpoint answers that fast."""
 
-CONNECT_TRIES = 4
-"""Endpoints that are tried while no connection can be made; nothing has been sent to any."""
+MAX_CONNECT_FAILURES = 4
+"""Failed connection attempts after which a request is given up; nothing was sent in any of them."""
 
-UNBOUNDED = Decision(Admission.ADMITTED, "not decided on")
-"""For plain services, whose endpoints refuse themselves, and for what was sent before."""
+NOT_LIMITED = Decision(Admission.ADMITTED, "not decided on")
+"""Used without admission control: for plain services, whose endpoints reject requests themselves,
+and for retries."""
 
 
 class Exchange:
-    """Answers one request.
+    """Handles one request from its arrival to its answer.
 
     Parameters
     ----------
     workspace
-        Workspace of the caller's key; None for a request without one.
+        Workspace of the caller's key; None for a request without a key.
     """
 
     def __init__(
@@ -90,8 +92,8 @@
         limit_ms = route.time_limit_ms
         if facts.wait_ms is not None:
             limit_ms = min(limit_ms, facts.wait_ms)
-        self._until_ms = request.arrived_ms + limit_ms
-        self._patience = Patience(state, route, lambda: self._left_ms)
+        self._deadline_ms = request.arrived_ms + limit_ms
+        self._timeouts = Patience(state, route, lambda: self._left_ms)
         self._sends = 0
         self._may_have_run = False
         self._first_event_ms: float | None = None
@@ -99,13 +101,14 @@
 
     @property
     def sends(self) -> int:
-        """How often the request was sent to an endpoint."""
+        """Number of times the request was sent to an endpoint."""
         return self._sends
 
     def end(self) -> str:
-        """Answer as well as the router's own end allows; returns what became of the request.
+        """Answer a request that is cancelled because the router exits; returns the outcome.
 
-        A caller that gets an answer at once comes back elsewhere, or knows that it may have run.
+        With an immediate answer the caller either retries at another router, or learns that the
+        request may have run.
         """
         if self._caller.begun:
             self._caller.cut()
@@ -122,7 +125,7 @@
 
     @property
     def _left_ms(self) -> float:
-        return self._until_ms - self._state.clock.now_ms
+        return self._deadline_ms - self._state.clock.now_ms
 
     async def run(self) -> None:
         """Answer the request."""
@@ -132,16 +135,16 @@
         await self._attempts()
 
     async def _attempts(self) -> None:
-        connects = 0
+        connect_failures = 0
         last = Result(Verdict.NOT_RUN, "no endpoint")
         while True:
             standing = self._containment.look()
             if standing.treatment is Treatment.QUARANTINED:
                 return self._quarantine()
-            if standing.treatment is Treatment.WAIT and self._left_ms >= LEAST_LEFT_MS:
+            if standing.treatment is Treatment.WAIT and self._left_ms >= MIN_TIME_LEFT_MS:
                 await asyncio.sleep(min(standing.wait_ms, self._left_ms) / 1000)
                 continue
-            placement = self._place() if self._keys_hold() else None
+            placement = self._place() if self._key_is_valid() else None
             if placement is None:
                 return self._give_up(last)
             choice, decision, _ = placement
@@ -149,34 +152,34 @@
                 self._answer.refuse(503, decision.wait_ms)
                 return None
             if not self._may_finish(choice):
-                return self._leave_to_others(choice, last)
+                return self._refuse_outlasting(choice, last)
             if decision.verdict is Admission.HELD:
                 await asyncio.sleep(decision.wait_ms / 1000)
                 continue
             try:
                 connection = await sending_connection(self._pool, choice.endpoint, self._caller)
             except ConnectError as error:
-                connects += 1
+                connect_failures += 1
                 self._pool.drop(choice.endpoint)
                 self._notes.failure(choice.endpoint, f"connect: {error}", weight=UNREACHED_WEIGHT)
                 self._tried.add(choice.endpoint.key)
-                if connects >= CONNECT_TRIES:
+                if connect_failures >= MAX_CONNECT_FAILURES:
                     return self._give_up(last)
                 continue
-            if self._left_ms < LEAST_LEFT_MS or not self._keys_hold():
+            if self._left_ms < MIN_TIME_LEFT_MS or not self._key_is_valid():
                 connection.abort()
                 return self._give_up(last)
             if not self._may_finish(choice):
                 connection.abort()
-                return self._leave_to_others(choice, last)
+                return self._refuse_outlasting(choice, last)
             if not self._still_usable(choice):
-                # It began to leave, or to start anew, while the connection was made.
+                # The endpoint began to drain or restarted while the connection was made.
                 connection.abort()
                 continue
             last = await self._send(placement, connection)
             if last.verdict is Verdict.DONE:
                 return None
-            if not self._may_try_again(last):
+            if not self._may_retry(last):
                 return self._give_up(last)
 
     def _place(self) -> AdmittedPlacement | None:
@@ -191,7 +194,7 @@
         if self._sends == 0 and self._prompt is not None:
             return self._gate.place(fresh, self._prompt, self._left_ms)
         choice = self._choose(fresh)
-        return AdmittedPlacement(choice, UNBOUNDED) if choice is not None else None
+        return AdmittedPlacement(choice, NOT_LIMITED) if choice is not None else None
 
     def _still_usable(self, choice: Choice) -> bool:
         return any(e.key == choice.endpoint.key for e in self._state.usable(self._service))
@@ -202,9 +205,9 @@
             return choose_engine(self._prompt, endpoints, state.models, state.records, now_ms)
         return choose_plain(endpoints, state.records, state.settings.failure_domain, now_ms)
 
-    def _keys_hold(self) -> bool:
-        # Asked again after each wait: a key may have been taken away meanwhile, or the router may
-        # have lost touch with the store for so long that it cannot know.
+    def _key_is_valid(self) -> bool:
+        # Checked again after each wait: the key may have been revoked meanwhile, or the store may
+        # have been unreachable for so long that the local configuration is no longer trusted.
         if self._workspace is None:
             return True
         state = self._state
@@ -213,8 +216,8 @@
         return state.rules.workspace_of(self._facts.key or "") == self._workspace
 
     def _may_finish(self, choice: Choice) -> bool:
-        # Asked again after each wait, as the keys are. An answer that has begun breaks off without
-        # another send in any case.
+        # Checked again after each wait, like the key. An answer that has begun is cut in any case
+        # unless it is sent again, so that a further send is always allowed.
         return self._caller.begun or self._time_to_end.fits(
             choice, self._left_ms, self._splitter.last
         )
@@ -222,7 +225,7 @@
     def _longest_ms(self, choice: Choice) -> float:
         return self._time_to_end.longest_ms(choice, self._left_ms, self._splitter.last)
 
-    def _leave_to_others(self, choice: Choice, last: Result) -> None:
+    def _refuse_outlasting(self, choice: Choice, last: Result) -> None:
         state, plan = self._state, self._state.leaving
         if plan is None or self._may_have_run:
             return self._give_up(last)
@@ -251,7 +254,7 @@
         whole = False
         try:
             async with asyncio.timeout(max(0.0, self._left_ms) / 1000):
-                result = await self._ask(choice, connection)
+                result = await self._transfer(choice, connection)
             whole = result.verdict in (Verdict.DONE, Verdict.NOT_RUN, Verdict.FAILED)
         except TimeoutError:
             result = Result(Verdict.TIME_UP, "no answer in time")
@@ -264,7 +267,7 @@
             if whole:
                 self._pool.give_back(endpoint, connection)
             else:
-                # Closing tells the endpoint to stop; one that goes on would work for nobody.
+                # Closing cancels the request at the endpoint; its result would be unused.
                 connection.abort()
         took_ms = state.clock.now_ms - sent_ms
         self._notes.result(endpoint, result, took_ms)
@@ -285,7 +288,7 @@
             )
         return result
 
-    async def _ask(self, choice: Choice, connection: EndpointConnection) -> Result:
+    async def _transfer(self, choice: Choice, connection: EndpointConnection) -> Result:
         data = self._dialect.for_endpoint(
             self._request,
             endpoint=choice.endpoint,
@@ -293,11 +296,11 @@
             left_ms=max(1.0, self._left_ms - DEADLINE_MARGIN_MS),
             last_event=self._splitter.last,
         )
-        # From the first byte on the request may run, whatever is heard of it afterwards.
+        # Once the first byte is written the request may run, whatever the endpoint answers.
         sent_ms = self._state.clock.now_ms
         ran_before, self._may_have_run = self._may_have_run, True
         connection.send(data)
-        head = await self._patience.head(connection.head(), choice, self._sends)
+        head = await self._timeouts.head(connection.head(), choice, self._sends)
         facts = self._dialect.read_answer(head)
         if facts.attempt is not None and facts.attempt != self._facts.attempt:
             raise BrokenAnswerError("the answer belongs to another request")
@@ -324,29 +327,29 @@
     ) -> Result:
         clock, resumed_after = self._state.clock, self._splitter.last
 
-        def begins() -> None:
+        def on_first_event() -> None:
             self._first_event_ms = clock.now_ms
             self._notes.first_event(choice)
 
         relay = EventRelay(
-            connection, self._caller, self._answer, head, self._splitter, clock, begins
+            connection, self._caller, self._answer, head, self._splitter, clock, on_first_event
         )
-        await self._patience.whole(relay, choice, self._sends)
+        await self._timeouts.whole(relay, choice, self._sends)
         relay.end()
         if relay.first_ms is not None:
             self._time_to_end.streamed(clock.now_ms - relay.first_ms, resumed_after)
         return Result(Verdict.DONE)
 
-    # what follows a send
+    # after a send
 
-    def _may_try_again(self, last: Result) -> bool:
+    def _may_retry(self, last: Result) -> bool:
         if last.verdict is Verdict.TIME_UP or self._caller.gone:
             return False
         if last.verdict is not Verdict.NOT_RUN and not self._route.repeatable:
             return False
         if last.head is not None and last.head.status == 504 and self._route.streams:
             return False
-        if self._sends >= self._route.max_attempts or self._left_ms < LEAST_LEFT_MS:
+        if self._sends >= self._route.max_attempts or self._left_ms < MIN_TIME_LEFT_MS:
             return False
         state = self._state
         allowed = state.allowance.take(self._service, state.clock.now_ms)
@@ -378,7 +381,7 @@
             self._answer.pass_failure(last.head, last.body)
             return
         if not self._may_have_run:
-            reason = last.reason if self._keys_hold() else "keys are not confirmed"
+            reason = last.reason if self._key_is_valid() else "keys are not confirmed"
             state.log.request("refused", self._facts.attempt, reason=reason, sends=self._sends)
             self._answer.refuse(503, 200.0 + 300.0 * state.random.random())
             return
--- a/packages/gateway/src/tamarack_gateway/http_messages.py
+++ b/packages/gateway/src/tamarack_gateway/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as values, and the bytes that they are written as."""
+"""HTTP messages as values, and their serialization."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         b"expect",
     )
 )
-"""Headers that concern one connection only, and those that frame a message on it."""
+"""Hop-by-hop headers, and those that frame a message on its connection."""
 
 
 def _first(headers: Headers, name: bytes) -> bytes | None:
@@ -30,7 +30,7 @@
 
 
 class Request(NamedTuple):
-    """A request that has been read whole.
+    """A request that has been read completely.
 
     Attributes
     ----------
@@ -57,10 +57,10 @@
     Attributes
     ----------
     length
-        Length of the body in bytes; None where it is not told.
+        Length of the body in bytes; None if it is not declared.
     chunked
-        Whether the body ends with a last chunk; without it and a length, it ends with the
-        connection.
+        Whether the body is chunked; a body with neither chunks nor a length ends when the
+        connection closes.
     """
 
     status: int
@@ -74,7 +74,7 @@
 
 
 def request_bytes(method: bytes, target: bytes, headers: Headers, body: bytes) -> bytes:
-    """Write a request with its length."""
+    """Serialize a request with its length."""
     lines = [b"%s %s HTTP/1.1\r\n" % (method, target)]
     lines.extend(b"%s: %s\r\n" % header for header in headers)
     if body or method not in (b"GET", b"HEAD", b"DELETE"):
@@ -85,7 +85,7 @@
 
 
 def head_bytes(status: int, headers: Headers) -> bytes:
-    """Write the status line and headers of an answer."""
+    """Serialize the status line and headers of an answer."""
     lines = [b"HTTP/1.1 %d %s\r\n" % (status, _phrase(status))]
     lines.extend(b"%s: %s\r\n" % header for header in headers)
     lines.append(b"\r\n")
@@ -93,7 +93,7 @@
 
 
 def chunk_bytes(data: bytes) -> bytes:
-    """Write one chunk of a body."""
+    """Serialize one chunk of a body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
--- a/packages/gateway/src/tamarack_gateway/listeners.py
+++ b/packages/gateway/src/tamarack_gateway/listeners.py
@@ -1,4 +1,4 @@
-"""The addresses that a router serves, and which connections it takes there."""
+"""Listens on the router's addresses and accepts or rejects connections."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from tamarack_gateway.fleet_state import FleetState
 
 BACKLOG = 1_024
-"""Connections that wait to be accepted; a full queue costs a caller seconds."""
+"""Length of the accept queue; when it is full, callers lose seconds until they connect."""
 
 ACCEPTS = 96
-"""Connections that are accepted in one round of the loop: more, each with a request, would make a
-round of a small instance so long that nothing else is read and no overload is noticed; fewer would
-not keep up with those that come while the loop is late."""
+"""Connections accepted in one event-loop iteration. With more, each with a request, an iteration on
+a small instance would take so long that nothing else is read and no overload is detected; with
+fewer, the router would not keep up with the connections that arrive while the loop lags."""
 
 
 class Listeners:
-    """Listens until closed.
+    """Listening sockets of a router, open until `close`.
 
     Parameters
     ----------
     connections
-        The set that each connection enters itself into.
+        The set to which each connection adds itself.
     crowd
-        Tells whether one more is let in.
+        Decides whether a new connection is accepted.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._servers: list[asyncio.Server] = []
 
     async def listen(self, address: str, handler: Handler) -> str:
-        """Serve an address; returns the one that was bound."""
+        """Listen on an address; returns the bound address."""
         loop = asyncio.get_running_loop()
 
         def accept() -> asyncio.Protocol:
@@ -56,7 +56,7 @@
         return f"{host}:{port}"
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Stop accepting connections."""
         for server in self._servers:
             server.close()
 
@@ -74,11 +74,11 @@
 
 
 class _Listener(socket.socket):
-    """Keeps the length of its queue whatever the event loop asks for.
+    """A socket whose accept queue has the length `BACKLOG`, whatever the event loop passes.
 
-    The loop has one figure for that length and for what it accepts in a round. A later call that
-    makes the queue longer is not taken everywhere; with 32 places a burst of callers overflows it
-    while the loop is busy, and those left out try again after a second or see no connection.
+    asyncio uses one number for that length and for the connections accepted per iteration. A later
+    `listen` call with a longer queue has no effect on some systems. With a queue of 32 a burst of
+    callers overflows it while the loop is busy; the others retry after a second or fail to connect.
     """
 
     def listen(self, backlog: int = BACKLOG, /) -> None:
--- a/packages/gateway/src/tamarack_gateway/loop_watch.py
+++ b/packages/gateway/src/tamarack_gateway/loop_watch.py
@@ -1,4 +1,4 @@
-"""Samples how late the event loop is, and tells when the router becomes overloaded or recovers."""
+"""Samples the event-loop lag, and reports when the router becomes overloaded or recovers."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 from tamarack_gateway.decision_log import DecisionLog
 
 IDLE_SAMPLE_MS = 250.0
-"""Time between two samples while no caller is connected: there is nobody to turn away, and with
-four samples a second 195 routers were still woken 100 times a second each, counted while idle."""
+"""Time between two samples while no caller is connected: there are no requests to reject, and
+frequent wake-ups of idle routers add up on one instance: 195 of them woke up 100 times a second
+each even with four samples a second."""
 
 
 class LoopStatus(TypedDict):
-    """How busy a router's loop is; times in milliseconds."""
+    """Load of a router's event loop; times in milliseconds."""
 
     lag_ms: int
     most_lag_ms: int
@@ -35,7 +36,7 @@
 
 
 class LoopWatch:
-    """Watches the running loop; use it as a context manager.
+    """Monitors the lag of the running event loop; use it as a context manager.
 
     Parameters
     ----------
@@ -44,7 +45,7 @@
     changed
         Called when an overload begins or ends.
     turned_away
-        Tells how many connections were closed unread for want of room.
+        Returns the number of connections closed unread because the limit was reached.
     """
 
     def __init__(
@@ -67,7 +68,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def __enter__(self) -> LoopWatch:
-        self._arm()
+        self._schedule()
         return self
 
     def __exit__(
@@ -81,12 +82,12 @@
 
     @property
     def overloaded(self) -> bool:
-        """Whether the loop is behind for longer than a moment."""
+        """Whether the event loop has lagged for several samples."""
         return self._lag.overloaded
 
     @property
     def avoid(self) -> bool:
-        """Whether callers should be sent elsewhere."""
+        """Whether callers should be directed to other routers."""
         return self._lag.avoid(self._clock.now_ms)
 
     @property
@@ -95,7 +96,7 @@
         return self._running.total()
 
     def sheds(self, workspace: str | None) -> bool:
-        """Whether a request that a workspace sends now is refused at once."""
+        """Whether a new request of a workspace is to be refused at once."""
         own = self._running[workspace]
         workspaces = len(self._running) + (own == 0)
         if not self._limit.takes(own, self.running, workspaces):
@@ -104,7 +105,7 @@
 
     @contextmanager
     def taking(self, workspace: str | None) -> Iterator[None]:
-        """Count a request of a workspace as in progress."""
+        """Count a request of a workspace as in progress within the context."""
         self._running[workspace] += 1
         try:
             yield
@@ -114,7 +115,7 @@
                 del self._running[workspace]
 
     def status(self) -> LoopStatus:
-        """How busy the loop is."""
+        """Current load of the event loop."""
         lag, limit = self._lag, self._limit.most
         return {
             "lag_ms": round(lag.lag_ms),
@@ -127,18 +128,18 @@
             "requests": sum(connection.busy for connection in self._connections),
         }
 
-    def _arm(self) -> None:
+    def _schedule(self) -> None:
         sample_ms = SAMPLE_MS if self._connections else IDLE_SAMPLE_MS
         due_ms = self._clock.now_ms + sample_ms
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(sample_ms / 1000, self._woke, due_ms)
+        self._timer = loop.call_later(sample_ms / 1000, self._sample, due_ms)
 
-    def _woke(self, due_ms: float) -> None:
+    def _sample(self, due_ms: float) -> None:
         now_ms = self._clock.now_ms
         self._limit.observe(now_ms - due_ms, self.running, now_ms)
-        turned = self._lag.woke(now_ms - due_ms, now_ms)
-        self._arm()
-        if turned:
-            sentence = "overloaded" if self._lag.overloaded else "no longer overloaded"
-            self._log.event(sentence, **self.status())
+        overload_changed = self._lag.woke(now_ms - due_ms, now_ms)
+        self._schedule()
+        if overload_changed:
+            message = "overloaded" if self._lag.overloaded else "no longer overloaded"
+            self._log.event(message, **self.status())
             self._changed()
--- a/packages/gateway/src/tamarack_gateway/own_pages.py
+++ b/packages/gateway/src/tamarack_gateway/own_pages.py
@@ -1,4 +1,4 @@
-"""What a router answers itself: readiness, addresses for callers, metrics and its status."""
+"""Pages served by the router itself: readiness, addresses for callers, metrics and status."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 
 class OwnPages:
-    """Answers the platform's checks, callers that ask where to connect, and operators.
+    """Answers the platform's readiness checks, callers' address queries, and operators.
 
     Parameters
     ----------
     me
-        Tells how this router is.
+        Returns this router's own entry in the list of routers.
     relays
-        Tells whether it relays for its failure domain.
+        Returns whether it relays for its failure domain.
     loop
-        Tells how busy its event loop is.
+        Returns the load of its event loop.
     release
-        Releases a request, by its fingerprint; returns whether the store has taken it.
+        Releases a request, given its fingerprint; returns whether the store has recorded it.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._release = release
 
     async def answer_site(self, request: Request, caller: CallerConnection) -> None:
-        """Answer the platform or a caller that asks for addresses."""
+        """Answer a readiness check or a caller's query for addresses."""
         directory, state = self._directory, self._state
         if directory.is_readiness(request):
             caller.answer(200 if state.ready else 503, [])
@@ -99,5 +99,6 @@
         elif await self._release(fingerprint):
             caller.answer(200, [], b"released\n")
         else:
-            # Its row is still there, and would quarantine it again at the next router's start.
+            # The row is still in the store, and would quarantine the request again when the next
+            # router starts.
             caller.answer(503, [], b"the store did not take the release; try again\n")
--- a/packages/gateway/src/tamarack_gateway/send_notes.py
+++ b/packages/gateway/src/tamarack_gateway/send_notes.py
@@ -1,4 +1,4 @@
-"""What a router learns from its own sends, and tells the others of them."""
+"""Updates the local state from one request's sends, and publishes them to the other routers."""
 
 from __future__ import annotations
 
@@ -14,25 +14,26 @@
 from tamarack_gateway.send_result import Result, Verdict
 
 REJECTED_WEIGHT = 0.5
-"""A rejection counts half of a failure: the endpoint is full, and said so at once."""
+"""Weight of a rejection as a failure: the endpoint is full, and answered at once."""
 
 UNREACHED_WEIGHT = 3.0
-"""An endpoint that takes no connection counts threefold: the next request would wait in vain."""
+"""Weight of a failed connection: the next request would time out as well."""
 
-CALLERS_FAULT = (400, 404, 504)
-"""Statuses that speak of the request or its deadline and not of the endpoint."""
+CALLER_ERROR_STATUSES = (400, 404, 504)
+"""Statuses that concern the request or its deadline, and do not count as endpoint failures."""
 
 
 class SendNotes:
-    """Takes one request's sends into the models and records.
+    """Records one request's sends in the engine models and endpoint records.
 
-    A send is noted in those of the life that it went to, also where the endpoint has another life
-    when it ends: the next life's counts would otherwise lack a request that runs there.
+    A send updates the model and record of the incarnation it was sent to, even if the endpoint has
+    restarted when the send ends: otherwise the counts of the next incarnation would miss a request
+    that runs there.
 
     Parameters
     ----------
     attempt, service, workspace, prompt
-        Of the request; `prompt` is None for plain services.
+        Properties of the request; `prompt` is None for plain services.
     """
 
     def __init__(
@@ -53,10 +54,10 @@
         self._record: EndpointRecord | None = None
         self._model: EngineModel | None = None
         self._running = False
-        self._served = False
+        self._service_recorded = False
 
     def asked(self) -> None:
-        """Take in that the request came."""
+        """Record that the request arrived."""
         if self._prompt is None or self._workspace is None:
             return
         charge = self._prompt.charge
@@ -65,7 +66,7 @@
         self._outbox.asked(self._service, self._workspace, charge)
 
     def placed(self, placement: AdmittedPlacement, route: Route, send: int, left_ms: float) -> None:
-        """Log where the request's next send goes, and by what this was decided."""
+        """Log the endpoint of the request's next send, and the inputs of that decision."""
         state, (choice, decision, position) = self._state, placement
         age_ms = state.freshness.age_ms(state.clock.now_ms)
         state.log.request(
@@ -80,7 +81,7 @@
             send=send,
             first_token_ms=round(choice.first_token_ms),
             unread_tokens=choice.unread_tokens,
-            shared=self._shared_parts(choice),
+            shared=self._shared_blocks(choice),
             queue_ms=round(decision.queue_ms),
             bound_ms=round(decision.bound_ms),
             standing=round(position.standing, 2),
@@ -90,17 +91,19 @@
             confirmed_ms_ago=round(min(age_ms, 1e9)),
         )
 
-    def _shared_parts(self, choice: Choice) -> list[tuple[str, int, bool]]:
-        """Shared parts of the prompt with their tokens and whether the engine has to read them."""
+    def _shared_blocks(self, choice: Choice) -> list[tuple[str, int, bool]]:
+        """Shared prefix blocks of the prompt: key, tokens, whether the engine must prefill them."""
         model = self._state.model(choice.endpoint.key)
         if self._prompt is None or model is None:
             return []
         shared = self._prompt.parts[:-1]
-        kept = model.kept_parts(self._prompt)
-        return [(part.key, part.tokens, number >= kept) for number, part in enumerate(shared)]
+        cached_count = model.kept_parts(self._prompt)
+        return [
+            (part.key, part.tokens, number >= cached_count) for number, part in enumerate(shared)
+        ]
 
     def sent(self, choice: Choice) -> None:
-        """Take in that it is sent to an endpoint."""
+        """Record that the request is sent to an endpoint."""
         state, prompt, now_ms = self._state, self._prompt, self._state.clock.now_ms
         name, life = choice.endpoint.key
         self._record = state.record(choice.endpoint.key)
@@ -112,13 +115,13 @@
         parts = model.parts_to_tell(prompt, now_ms)
         reading_ms = model.sent(self._attempt, prompt, now_ms)
         self._outbox.placed(name, reading_ms, parts, life)
-        if self._workspace is not None and not self._served:
-            self._served = True
+        if self._workspace is not None and not self._service_recorded:
+            self._service_recorded = True
             state.shares.of(self._service).serve(self._workspace, prompt.charge, now_ms)
             self._outbox.served(self._service, self._workspace, prompt.charge)
 
     def first_event(self, choice: Choice) -> None:
-        """Take in that an engine begins to answer."""
+        """Record the first event of an engine's answer."""
         model, key = self._model, choice.endpoint.key
         if model is not None and self._prompt is not None:
             now_ms = self._state.clock.now_ms
@@ -129,7 +132,7 @@
             self._running = True
 
     def ended(self) -> None:
-        """Take in that a send has ended in whatever way; called once for each `sent`."""
+        """Record the end of a send, whatever its result; called once for each `sent`."""
         if self._record is not None:
             self._record.outstanding = max(0, self._record.outstanding - 1)
         model = self._model
@@ -141,21 +144,21 @@
             self._running = False
 
     def result(self, endpoint: Endpoint, result: Result, took_ms: float) -> None:
-        """Take in what came of a send."""
+        """Record the result of a send."""
         if result.verdict is Verdict.DONE:
             record = self._state.record(endpoint.key)
             if record is not None:
                 record.succeeded(self._state.clock.now_ms, took_ms)
             return
         if result.verdict is Verdict.FAILED and result.head is not None:
-            if result.head.status not in CALLERS_FAULT:
+            if result.head.status not in CALLER_ERROR_STATUSES:
                 self.failure(endpoint, result.reason)
             return
         rejected = result.verdict is Verdict.NOT_RUN
         self.failure(endpoint, result.reason, weight=REJECTED_WEIGHT if rejected else 1.0)
 
     def failure(self, endpoint: Endpoint, reason: str, *, weight: float = 1.0) -> None:
-        """Take in that an endpoint failed a request."""
+        """Record that an endpoint failed a request."""
         state = self._state
         record = state.record(endpoint.key)
         if record is None:
--- a/packages/gateway/src/tamarack_gateway/send_result.py
+++ b/packages/gateway/src/tamarack_gateway/send_result.py
@@ -1,4 +1,4 @@
-"""What came of sending a request to one endpoint."""
+"""Result of sending a request to one endpoint."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Verdict(Enum):
-    """What came of one send."""
+    """Outcome of one send."""
 
     DONE = 1
     NOT_RUN = 2
@@ -19,12 +19,12 @@
 
 
 class Result(NamedTuple):
-    """What came of one send, and an answer that is kept in case nothing better follows.
+    """Outcome of one send, and an error answer to pass on if no retry succeeds.
 
     Attributes
     ----------
     lost
-        Whether the connection ended in the middle, as it does when the endpoint ends.
+        Whether the connection closed before the answer was complete, as in a crash of the endpoint.
     """
 
     verdict: Verdict
--- a/packages/gateway/src/tamarack_gateway/sending_connection.py
+++ b/packages/gateway/src/tamarack_gateway/sending_connection.py
@@ -1,4 +1,4 @@
-"""The last step before a request is sent: a connection, and a caller that is still there."""
+"""Takes a connection to send a request on, and checks that the caller is still connected."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from tamarack_gateway.endpoint_connection import ConnectError, EndpointConnection
 
 CLOSED_TRIES = 4
-"""Connections that are taken while each is found closed; an endpoint that closes what it has just
-accepted is full."""
+"""Attempts while each connection turns out to be closed; an endpoint that closes connections right
+after accepting them is full."""
 
-ROUNDS = 2
-"""Rounds of the loop until the caller's socket has been polled and read after the call."""
+LOOP_ITERATIONS = 2
+"""Event-loop iterations until the caller's socket has been polled and read."""
 
 
 async def sending_connection(
@@ -22,25 +22,26 @@
 ) -> EndpointConnection:
     """A connection on which to send at once; raises `ConnectError` or `CallerGoneError`.
 
-    A request and its caller's close may lie in one buffer, for seconds if the loop is behind. What
-    fails without the wait below: the endpoint works for nobody, and its log shows a request that
-    came after its caller had given up.
+    A request and its caller's close may be in the same socket buffer, for seconds if the event loop
+    lags. Without the wait below the endpoint works on an abandoned request, and its log shows one
+    that arrived after its caller had left.
 
-    In each of its rounds the loop polls all sockets, runs the tasks that were ready before, and
-    then reads the sockets that the poll found. A task that was woken by its request's arrival, a
-    timer or an endpoint's answer thus runs before the close is read that the same poll has found.
-    It runs behind that reading after one step to the end of the queue, and behind one that was
-    polled after this call after two: then every close is seen that had come when this was called.
-    Nothing is awaited between this and the sending; what comes within the last round is not seen,
-    and the loop's lag bounds its length.
+    In each iteration the event loop polls all sockets, runs the tasks that were already ready, and
+    then reads the sockets that the poll reported. A task woken by its request's arrival, a timer or
+    an endpoint's answer thus runs before a close reported by the same poll is read. After yielding
+    once the task runs behind that read, and after yielding twice behind the read of a poll made
+    after this call: every close that had arrived at the time of the call has then been seen.
+    Nothing is awaited between the return and the send. A close that arrives within the last
+    iteration is not seen; the event-loop lag bounds the length of that iteration.
 
-    The same rounds show a kept connection that the endpoint has closed meanwhile; another is taken.
+    The same wait detects an idle connection that the endpoint has closed meanwhile; another is
+    taken.
     """
     for _ in range(CLOSED_TRIES):
         connection = await pool.take(endpoint)
         usable = False
         try:
-            for _ in range(ROUNDS):
+            for _ in range(LOOP_ITERATIONS):
                 await asyncio.sleep(0)
             usable = connection.usable and not caller.gone
         finally:
--- a/packages/gateway/src/tamarack_gateway/time_to_end.py
+++ b/packages/gateway/src/tamarack_gateway/time_to_end.py
@@ -1,4 +1,4 @@
-"""How long a request may take, learned from others, and whether a stopping router has that time."""
+"""Predicts how long a request may take, and whether it ends before a stopping router exits."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class TimeToEnd:
-    """Bounds the time of one request's sends.
+    """Predicts the duration of one request's sends from those of earlier requests.
 
     Parameters
     ----------
     prompt
-        Of a generation; None for other requests.
+        Prompt of a generation; None for other requests.
     """
 
     def __init__(
@@ -31,9 +31,9 @@
         Parameters
         ----------
         left_ms
-            Time that the request has left by its own limit, at which it ends in any case.
+            Time left until the request's deadline, at which it ends in any case.
         last_event
-            Id of the last event that the caller has of a stream; the rest is generated.
+            Id of the last event of a stream that the caller has; only the rest is generated.
         """
         now_ms = self._state.clock.now_ms
         times = self._state.times(self._service)
@@ -45,7 +45,7 @@
         return times.longest_stream_ms(choice.first_token_ms, expected, left_ms, now_ms)
 
     def fits(self, choice: Choice, left_ms: float, last_event: int | None) -> bool:
-        """Whether a send that begins now ends before the router does."""
+        """Whether a send that begins now is expected to end before the router exits."""
         plan = self._state.leaving
         if plan is None:
             return True
@@ -53,16 +53,16 @@
         return plan.may_finish(longest_ms, self._state.clock.now_ms)
 
     def answered(self, took_ms: float) -> None:
-        """Take in how long a whole plain answer took."""
+        """Record the duration of a complete plain answer."""
         self._state.times(self._service).answered(took_ms, self._state.clock.now_ms)
 
     def streamed(self, took_ms: float, resumed_after: int | None) -> None:
-        """Take in how long a whole stream took from its first event on.
+        """Record the duration of a complete stream, counted from its first event.
 
         Parameters
         ----------
         resumed_after
-            Id of the event after which this send went on; None where it began anew.
+            Id of the event after which this send resumed; None if it started from the beginning.
         """
         expected = self._expected_tokens(resumed_after)
         if expected is not None:
--- a/tests/test_callers_who_left.py
+++ b/tests/test_callers_who_left.py
@@ -173,7 +173,7 @@
     for _ in range(LATE_SAMPLES):
         assert router._watch._timer is not None
         router._watch._timer.cancel()
-        router._watch._woke(router.state.clock.now_ms - 10 * LATE_MS)
+        router._watch._sample(router.state.clock.now_ms - 10 * LATE_MS)
     assert router._watch.overloaded
 
 
--- a/tests/test_end_witness.py
+++ b/tests/test_end_witness.py
@@ -7,7 +7,7 @@
 from crashing_pool import CrashingPool
 from gateway_site import Fleet, play, until
 
-from tamarack_gateway.end_witness import UNPROVED_MS
+from tamarack_gateway.end_witness import UNCONFIRMED_MS
 from tamarack_standins.fault_proxy import FaultProxy
 from tamarack_standins.platform_worker import BORN_MS, PlatformWorker, Script
 
@@ -141,10 +141,10 @@
         async with Fleet({"pool": engines}) as fleet:
             witness = fleet.gateway._witness
             await fleet.ask("/rewrite/x", body=b"breaks off")
-            (look,) = witness._unproved.values()
-            look.lost = [one._replace(at_ms=one.at_ms - UNPROVED_MS) for one in look.lost]
-            witness._keep_unproved(look)
-            assert witness._unproved == {}
+            (look,) = witness._unconfirmed.values()
+            look.lost = [one._replace(at_ms=one.at_ms - UNCONFIRMED_MS) for one in look.lost]
+            witness._keep_unconfirmed(look)
+            assert witness._unconfirmed == {}
             for number in range(2):
                 assert (await fleet.ask("/rewrite/x", body=b"%d" % number)).status != 500
 
