--- a/tests/test_caller_crowd.py
+++ b/tests/test_caller_crowd.py
@@ -1,4 +1,4 @@
-"""A router with as many connections as it bears."""
+"""Tests a router at its connection limit."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from tamarack_standins.platform_worker import PlatformWorker, Script
 
 DESCRIPTORS = 40
-BOUND = 24
-"""Connections of callers that it bears."""
+LIMIT = 24
+"""Connection limit of a router with `DESCRIPTORS` file descriptors."""
 
 
-async def crowd(fleet: Fleet, router: Gateway, count: int) -> list[asyncio.StreamWriter]:
-    """Callers that were answered once and keep their connections."""
+async def open_idle(fleet: Fleet, router: Gateway, count: int) -> list[asyncio.StreamWriter]:
+    """Open connections, have one request answered on each, and keep them open."""
     writers = []
     for _ in range(count):
         reader, writer = await connect(router.callers)
@@ -25,13 +25,12 @@
     return writers
 
 
-def test_idle_connections_make_room_for_callers_that_come() -> None:
-    """Symptom: a router takes no caller any more, all day long, and says that it is ready.
+def test_idle_connections_are_closed_to_admit_new_callers() -> None:
+    """Failure: a router at its connection limit accepts no new caller, although it is ready.
 
-    Sequence: a workspace's callers keep to one router; each is refused, comes back on a new
-    connection, and keeps the old one. Cause: idle connections counted like busy ones, and were
-    kept until their time was over. Evidence: seen from outside on 66 routers, one with 2,340
-    connections, its bound, from second 4.7 on; 17,353 of 85,000 tries found no connection.
+    Callers pinned to one router retry each refused request on a new connection and keep the old one
+    open. If idle connections count like busy ones until their idle timeout, they fill the limit:
+    2,340 connections were open after 4.7 s, and 17,353 of 85,000 requests found no connection.
     """
 
     async def run() -> None:
@@ -40,10 +39,10 @@
             fleet.router("router-2", descriptors=DESCRIPTORS) as router,
         ):
             await until(lambda: router.state.ready)
-            kept = await crowd(fleet, router, BOUND // 2 - 1)
-            # Opened before it was crowded and used after: these end with their answers.
-            opened = [await connect(router.callers) for _ in range(BOUND - len(kept))]
-            await until(lambda: len(router._connections) == BOUND)
+            kept = await open_idle(fleet, router, LIMIT // 2 - 1)
+            # Opened before the router is crowded and used after: these close after their answers.
+            opened = [await connect(router.callers) for _ in range(LIMIT - len(kept))]
+            await until(lambda: len(router._connections) == LIMIT)
             await asyncio.sleep(0.3)
             for number in range(6):
                 assert (await fleet.ask(f"/page/{number}", at=router)).status == 200
@@ -55,7 +54,7 @@
     play(run())
 
 
-def test_answers_of_a_crowded_router_end_their_connections() -> None:
+def test_a_crowded_router_closes_connections_after_answers() -> None:
     async def run() -> None:
         async with (
             Fleet({"web": [PlatformWorker("w1")]}) as fleet,
@@ -64,8 +63,8 @@
             await until(lambda: router.state.ready)
             first = await fleet.ask("/page/1", at=router)
             assert "connection" not in first.headers
-            opened = [await connect(router.callers) for _ in range(BOUND // 2)]
-            await until(lambda: len(router._connections) == BOUND // 2)
+            opened = [await connect(router.callers) for _ in range(LIMIT // 2)]
+            await until(lambda: len(router._connections) == LIMIT // 2)
             crowded = await fleet.ask("/page/2", at=router)
             assert crowded.status == 200
             assert crowded.headers["connection"] == "close"
@@ -77,10 +76,10 @@
     play(run())
 
 
-def test_callers_are_sent_past_a_crowded_router() -> None:
-    """Symptom: callers go on to a router that turns them away, while others stand by.
+def test_callers_are_directed_to_other_routers_when_one_is_crowded() -> None:
+    """Failure: callers keep going to a router that rejects them while others have room.
 
-    Cause: only a router whose event loop was behind said so.
+    That happens if only routers with a lagging event loop are left out of the address list.
     """
 
     async def run() -> None:
@@ -103,7 +102,7 @@
             async with asyncio.timeout(10):
                 while router.callers not in await named():
                     await asyncio.sleep(0.05)
-            opened = [await connect(router.callers) for _ in range(BOUND // 2)]
+            opened = [await connect(router.callers) for _ in range(LIMIT // 2)]
             async with asyncio.timeout(10):
                 while router.callers in await named():
                     await asyncio.sleep(0.05)
@@ -115,7 +114,7 @@
 
 
 def test_a_busy_connection_is_never_closed_to_make_room() -> None:
-    """Symptom: a request that was sent to an endpoint gets no answer. Cause: room for another."""
+    """Failure: a request that runs loses its answer, as its connection is closed for another."""
 
     async def run() -> None:
         worker = PlatformWorker("w1", Script(pause_s=0.8))
@@ -124,15 +123,15 @@
             fleet.router("router-2", descriptors=DESCRIPTORS) as router,
         ):
             await until(lambda: router.state.ready)
-            callers = [await connect(router.callers) for _ in range(BOUND)]
+            callers = [await connect(router.callers) for _ in range(LIMIT)]
             for number, (_, writer) in enumerate(callers):
                 writer.write(fleet.request(f"/page/{number}"))
-            await until(lambda: sum(c.busy for c in router._connections) == BOUND)
+            await until(lambda: sum(c.busy for c in router._connections) == LIMIT)
             await asyncio.sleep(0.3)
             late = await fleet.try_ask("/page/1", at=router)
             assert late is None
             answers = await asyncio.gather(*(read_answer(reader) for reader, _ in callers))
-            assert [answer.status for answer in answers] == [200] * BOUND
+            assert [answer.status for answer in answers] == [200] * LIMIT
             for _, writer in callers:
                 writer.close()
 
--- a/tests/test_callers_who_left.py
+++ b/tests/test_callers_who_left.py
@@ -1,4 +1,4 @@
-"""Requests whose callers have left before they were sent on, and routers that fall behind."""
+"""Tests requests whose callers leave before they are sent, and routers with event-loop lag."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 STREAM = Script(events=2)
 DELIVERED_S = 0.02
-"""Seconds in which loopback has delivered what was written."""
+"""Seconds after which loopback has delivered written bytes."""
 
 
-async def dial(router: Gateway) -> socket.socket:
-    """A caller whose calls block the loop: what it does is done before the loop's next round."""
+async def connect_socket(router: Gateway) -> socket.socket:
+    """Connect a blocking socket: what it does is done before the event loop's next iteration."""
     host, _, port = router.callers.rpartition(":")
     known = set(router._connections)
     caller = socket.create_connection((host, int(port)))
@@ -34,87 +34,85 @@
     return caller
 
 
-def send_and_leave(callers: list[tuple[socket.socket, bytes]]) -> None:
-    """Have callers send a whole request and close, all before the loop's next round."""
+def send_and_close(callers: list[tuple[socket.socket, bytes]]) -> None:
+    """Send a request and close on each socket, before the event loop's next iteration."""
     for caller, request in callers:
         caller.sendall(request)
         caller.close()
     time.sleep(DELIVERED_S)
 
 
-async def all_left(router: Gateway) -> None:
-    """Wait until the router has noticed that its callers left."""
+async def until_all_closed(router: Gateway) -> None:
+    """Wait until the router has noticed that its callers closed their connections."""
     await until(lambda: not router._connections)
 
 
 def test_a_request_whose_caller_has_left_is_not_sent() -> None:
-    """Symptom: endpoints get requests over half a second after their callers have left.
+    """Failure: an endpoint gets a request long after its caller has left.
 
-    Sequence: a router's loop is behind for a second. A caller sends a whole request, waits for a
-    second to be read, and closes. The loop goes on: it reads the request, and sends it on an idle
-    connection to an endpoint before it reads the close, which lay in the same buffer.
-
-    Cause: the loop runs tasks that are ready before it reads sockets in each round. The task that
-    the request began was ready one round after the request had been read; the close was read later
-    in that same round. Evidence: the router that broke the rule had a full processor and 3,576
-    connections; no load is needed, as here, but the order of the two.
+    The event loop lags, and a caller's request and its close are in the same socket buffer. In each
+    iteration the loop runs ready tasks before it reads sockets: the request's task is ready one
+    iteration after the request is read, and the close is read only later in that iteration. The
+    order alone causes the failure, without any load.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         web = PlatformWorker("w1")
         async with Fleet({"web": [web]}) as fleet:
             router = fleet.gateway
-            kept = await dial(router)
+            kept = await connect_socket(router)
             kept.sendall(fleet.request("/page/kept"))
             await until(lambda: len(web.arrived) == 1 and not next(iter(router._connections)).busy)
-            callers = [kept, *[await dial(router) for _ in range(5)]]
-            send_and_leave([(caller, fleet.request("/page/left")) for caller in callers])
-            await all_left(router)
+            callers = [kept, *[await connect_socket(router) for _ in range(5)]]
+            send_and_close([(caller, fleet.request("/page/left")) for caller in callers])
+            await until_all_closed(router)
             assert (await fleet.ask("/page/stays")).status == 200
             assert [a.target for a in web.arrived] == ["/page/kept", "/page/stays"]
 
-    play(story())
+    play(run())
 
 
-def test_a_held_request_whose_caller_has_left_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Symptom: the same, of requests that were held back for an engine's queue.
+def test_a_queued_request_whose_caller_has_left_is_not_sent(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Failure: an endpoint gets a request that was queued at the router after its caller has left.
 
-    Sequence: the loop falls behind while a request is held; in the round in which the holding ends
-    its caller closes. Cause: the held task was ready before the close was read.
+    The event loop lags, and the caller closes in the iteration in which the delay ends. The delayed
+    task is ready before the close is read.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         engine = PlatformWorker("e1", STREAM)
         async with Fleet({"pool": [engine]}) as fleet:
             assert (await fleet.ask("/draft/1")).status == 200
             loop, admit = asyncio.get_running_loop(), admitted_placement.admit
-            caller = await dial(fleet.gateway)
+            caller = await connect_socket(fleet.gateway)
 
-            def hold_once(**facts: Any) -> Decision:
+            def queue_once(**facts: Any) -> Decision:
                 monkeypatch.setattr(admitted_placement, "admit", admit)
                 loop.call_later(0.031, caller.close)
                 loop.call_soon(time.sleep, 0.06)
                 return Decision(Admission.HELD, "the queue will shrink", 30.0)
 
-            monkeypatch.setattr(admitted_placement, "admit", hold_once)
+            monkeypatch.setattr(admitted_placement, "admit", queue_once)
             caller.sendall(fleet.request("/draft/2"))
-            await all_left(fleet.gateway)
+            await until_all_closed(fleet.gateway)
             assert (await fleet.ask("/draft/3")).status == 200
             assert [a.target for a in engine.arrived] == ["/draft/1", "/draft/3"]
 
-    play(story())
+    play(run())
 
 
-def test_a_request_is_not_sent_again_for_a_caller_that_has_left(
+def test_a_request_is_not_retried_for_a_caller_that_has_left(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: a second endpoint gets a request after its caller has left.
+    """Failure: a second endpoint gets a request after its caller has left.
 
-    Sequence: the first endpoint fails a request that may be repeated; its caller closes just before
-    the router reads that. Cause: the request was sent again before the close was read.
+    The first endpoint fails a repeatable request, and the caller closes just before the router
+    reads that answer. The retry is sent before the close is read.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         workers = [PlatformWorker(name) for name in ("w1", "w2")]
         async with Fleet({"web": workers}) as fleet:
             records = fleet.gateway.state.records
@@ -126,48 +124,48 @@
             for worker in workers:
                 worker.arrived.clear()
                 worker._scripts = [Script(status=500)]
-            caller = await dial(fleet.gateway)
+            caller = await connect_socket(fleet.gateway)
             failure = SendNotes.failure
 
-            def leave_and_fail(notes: SendNotes, *facts: Any, **more: Any) -> None:
+            def close_and_fail(notes: SendNotes, *facts: Any, **more: Any) -> None:
                 caller.close()
                 time.sleep(DELIVERED_S)
                 failure(notes, *facts, **more)
 
-            monkeypatch.setattr(SendNotes, "failure", leave_and_fail)
+            monkeypatch.setattr(SendNotes, "failure", close_and_fail)
             caller.sendall(fleet.request("/search/1"))
-            await all_left(fleet.gateway)
+            await until_all_closed(fleet.gateway)
             await asyncio.sleep(DELIVERED_S)
             assert sum(len(worker.arrived) for worker in workers) == 1
 
-    play(story())
+    play(run())
 
 
-def test_a_connection_that_was_not_used_is_as_old_as_before() -> None:
-    """Symptom: a request that must not be repeated is answered 502, and may have run.
+def test_returning_an_unused_connection_does_not_reset_its_idle_time() -> None:
+    """Failure: a request that must not be repeated is answered 502 and may have run.
 
-    Sequence: a connection to an endpoint is taken for a caller that turns out to have left, and is
-    kept; the next request is sent on it while the endpoint closes it for its age. Cause: its idle
-    time began anew, though the endpoint's had not.
+    A connection is taken for a caller that turns out to have left, and returned to the pool. If its
+    idle time starts again, although the endpoint's has not, the next request is sent on it while
+    the endpoint closes it.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         web = PlatformWorker("w1")
         async with Fleet({"web": [web]}) as fleet:
             assert (await fleet.ask("/page/1")).status == 200
             pool = fleet.gateway._pool
             ((idle,),) = pool._idle.values()
             idle_since_ms = idle.idle_since_ms
-            send_and_leave([(await dial(fleet.gateway), fleet.request("/page/left"))])
-            await all_left(fleet.gateway)
+            send_and_close([(await connect_socket(fleet.gateway), fleet.request("/page/left"))])
+            await until_all_closed(fleet.gateway)
             assert list(pool._idle.values()) == [[idle]]
             assert idle.idle_since_ms == idle_since_ms
 
-    play(story())
+    play(run())
 
 
 def overload(router: Gateway, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have a router find its loop far behind, and not recover."""
+    """Make a router detect a large event-loop lag and not recover."""
     monkeypatch.setattr(loop_lag, "CALM_SAMPLES", 1_000_000)
     monkeypatch.setattr(loop_lag, "TAKE_MS", 0.0)
     for _ in range(LATE_SAMPLES):
@@ -177,8 +175,8 @@
     assert router._watch.overloaded
 
 
-async def addresses_told(router: Gateway) -> list[str]:
-    """What a caller that asks for addresses is told."""
+async def listed_addresses(router: Gateway) -> list[str]:
+    """Addresses that a caller gets from a router's directory."""
     reader, writer = await connect(router.site_addresses[-1])
     writer.write(b"GET /api/resolve?name=x&region=r&zone=a HTTP/1.1\r\nHost: x\r\n\r\n")
     answer = await read_answer(reader)
@@ -186,21 +184,20 @@
     return addresses_in(answer)
 
 
-def test_an_overloaded_router_sends_callers_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Symptom: callers wait for a second to be read at one router, while the others are idle.
+def test_an_overloaded_router_directs_callers_to_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Failure: callers of one overloaded router time out while the other routers are idle.
 
-    Sequence: a caller with hundreds of requests a second keeps to one router, which is small. Its
-    processor is full and its loop falls seconds behind; all its callers give up, unread. Cause: it
-    read all that came, and was named to callers as before. Evidence: the one router took 962 new
-    connections in the second in which the others took 8 each, and held 3,576.
+    A caller with hundreds of requests a second is pinned to one small router, whose event loop lags
+    by seconds. If the router still reads every request and stays in the address list, all its
+    callers give up: it took 962 new connections in a second in which the others took 8 each, and
+    held 3,576.
 
-    Those that come all the same are answered, not closed: a caller whose connection is reset takes
-    the address for dead. Where it keeps to that address it has no other, and all its requests fail
-    until it asks for addresses again. Evidence: 1,144 tries cut without an answer in twelve seconds
-    at one such router, and 6 once it answered.
+    Requests that arrive anyway are answered and not cut: a caller whose connection is reset takes
+    the address for dead, and one pinned to it has no other address. In twelve seconds 1,144
+    requests were cut without an answer at one router, and 6 once it answered.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         web = PlatformWorker("w1")
         async with Fleet({"web": [web]}) as fleet, fleet.router("router-2") as router:
             other = fleet.gateway
@@ -210,12 +207,12 @@
             kept_reader, kept_writer = await connect(router.callers)
             await until(lambda: len(router._connections) == 1)
             overload(router, monkeypatch)
-            told = [await addresses_told(other)]
-            while len(told) < 100 and told[-1] != [other.callers]:
+            listed = [await listed_addresses(other)]
+            while len(listed) < 100 and listed[-1] != [other.callers]:
                 await asyncio.sleep(0.01)
-                told.append(await addresses_told(other))
-            assert told[-1] == [other.callers]
-            assert await addresses_told(router) == [other.callers]
+                listed.append(await listed_addresses(other))
+            assert listed[-1] == [other.callers]
+            assert await listed_addresses(router) == [other.callers]
             new_reader, new_writer = await connect(router.callers)
             for reader, writer in ((new_reader, new_writer), (kept_reader, kept_writer)):
                 for number in range(2):
@@ -227,13 +224,13 @@
                 writer.close()
             assert not web.arrived
 
-    play(story())
+    play(run())
 
 
-def test_where_most_routers_are_overloaded_all_are_named() -> None:
-    """Symptom: callers are told no address, or those of a few routers that are then overrun.
+def test_all_routers_are_listed_when_most_are_overloaded() -> None:
+    """Failure: callers get no address, or those of a few routers, which become overloaded too.
 
-    Sequence: so much is asked that most loops fall behind. Cause: whoever was behind was left out.
+    Under high load most event loops lag. Leaving out every lagging router leaves too few.
     """
     members = FleetMembers()
     for number in range(5):
@@ -244,24 +241,24 @@
     assert sorted(members.addresses(me, "a", 0.0)) == ["c0", "c1", "c2"]
 
 
-def test_a_listener_has_its_whole_queue_from_the_first_call_on(
+def test_the_first_listen_call_sets_the_full_accept_queue(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: callers of one router find no connection, though it is alive and has room.
+    """Failure: callers cannot connect to a live router that is below its connection limit.
 
-    Sequence: hundreds connect within a tenth of a second, while its loop is busy for as long.
-    Cause: the loop's server opened the queue for as many as it accepts in one round, 32, and a
-    second call that made it longer had no effect there. Evidence: of the tries of twelve seconds
-    477 found no connection, nearly all at the router with most callers; 16 with one length.
+    Hundreds connect within a tenth of a second while the event loop is busy. asyncio opens the
+    accept queue with the number of accepts per iteration, 32, and a second call with a longer queue
+    has no effect on some systems. In twelve seconds 477 requests found no connection, and 16 once
+    the queue had its full length from the first call on.
     """
     lengths: list[int] = []
     listen = socket.socket.listen
 
-    def noted(self: socket.socket, backlog: int = 0, /) -> None:
+    def record_length(self: socket.socket, backlog: int = 0, /) -> None:
         lengths.append(backlog)
         listen(self, backlog)
 
-    async def story() -> None:
+    async def run() -> None:
         web = PlatformWorker("w1")
         async with Fleet({"web": [web]}) as fleet:
             lengths.clear()
@@ -270,18 +267,18 @@
                 await until(lambda: router.state.ready)
                 assert (await fleet.ask("/page/1", at=router)).status == 200
 
-    monkeypatch.setattr(socket.socket, "listen", noted)
-    play(story())
+    monkeypatch.setattr(socket.socket, "listen", record_length)
+    play(run())
 
 
-def test_few_connections_are_accepted_in_one_round() -> None:
-    """Symptom: a router notices seconds later that it is overloaded, and reads nothing meanwhile.
+def test_connections_accepted_in_one_iteration_are_bounded() -> None:
+    """Failure: a router detects its overload seconds late, and reads nothing meanwhile.
 
-    Sequence: a thousand callers connect at once. Cause: the loop accepts as many connections in one
-    round as may wait, and each brings work that is done before the next reading.
+    A thousand callers connect at once. If the event loop accepts as many connections in one
+    iteration as its queue holds, the work of all of them is done before the next read.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         async with Fleet({"web": [PlatformWorker("w1")]}) as fleet:
             host, _, port = fleet.gateway.callers.rpartition(":")
             waiting = 3 * ACCEPTS
@@ -295,4 +292,4 @@
             for caller in callers:
                 caller.close()
 
-    play(story())
+    play(run())
--- a/tests/test_end_witness.py
+++ b/tests/test_end_witness.py
@@ -1,4 +1,4 @@
-"""What counts as the end of an endpoint, and what does not."""
+"""Tests which events count as the termination of an endpoint."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def list_behind(fleet: Fleet, engine: PlatformWorker, link: FaultProxy) -> dict[str, object]:
-    """List an engine at a link's address, and wait until the router knows; returns the entry."""
+    """List an engine at the address of a proxy, and wait until the router knows it."""
     entry = {**engine.entry("pool"), "address": link.address}
     await fleet.store.put("servers", engine.name, entry)
     book = fleet.gateway.state.book
@@ -28,11 +28,11 @@
     return entry
 
 
-def test_an_endpoint_that_only_resets_a_connection_has_not_ended() -> None:
-    """Symptom: requests are quarantined that met spoilt answers only.
+def test_a_connection_reset_alone_is_no_termination() -> None:
+    """Failure: requests that only got broken answers are quarantined.
 
-    Sequence: an endpoint resets connections in the middle of answers, four times to one request,
-    and goes on. Cause: a broken answer is taken for the end of the endpoint.
+    An endpoint resets connections in the middle of four answers to one request, and goes on
+    serving. Taking each broken answer for a termination would quarantine the request.
     """
 
     async def run() -> None:
@@ -48,7 +48,7 @@
     play(run())
 
 
-def test_an_endpoint_that_is_silent_or_spoils_answers_has_not_ended() -> None:
+def test_silence_and_malformed_answers_are_no_termination() -> None:
     async def run() -> None:
         spoilt = Script(events=8, cut_after=1)
         engine = PlatformWorker("e1", spoilt, Script(truncated=True), Script(attempt="x"), STREAM)
@@ -60,11 +60,11 @@
     play(run())
 
 
-def test_an_end_is_seen_where_something_in_between_accepts_connections() -> None:
-    """Symptom: behind a proxy of the platform a request ends endpoints for ever.
+def test_a_termination_behind_a_proxy_is_detected() -> None:
+    """Failure: a request keeps crashing endpoints behind a proxy, and is never quarantined.
 
-    Sequence: the endpoint ends; a connection to its address is accepted by what stands before it,
-    and closed at once. Cause: only a refused connection counted as proof.
+    After the crash the proxy accepts a connection to the endpoint's address and closes it at once.
+    That must count as a termination, like a refused connection.
     """
 
     async def run() -> None:
@@ -74,20 +74,20 @@
             await list_behind(fleet, engine, link)
             assert (await fleet.ask("/rewrite/x", body=FATAL)).status == 502
             assert suspects(fleet) == 1
-            # A full endpoint closes new connections as well, and may take work again soon.
+            # A full endpoint closes new connections as well and may accept requests again soon, so
+            # the endpoint is only avoided for a while.
             assert fleet.gateway.state.usable("pool") == []
             await until(lambda: len(fleet.gateway.state.usable("pool")) == 1)
 
     play(run())
 
 
-def test_what_is_sent_to_an_endpoint_after_its_end_is_not_suspected() -> None:
-    """Symptom: requests of callers who repeat them are quarantined, and have ended nothing.
+def test_requests_sent_after_a_termination_are_not_suspects() -> None:
+    """Failure: requests that crashed nothing are quarantined because their callers retry them.
 
-    Sequence: an endpoint ends behind something that goes on to accept connections for it; requests
-    are sent there and break off, again and again until it is back. Cause: each counted as one that
-    the endpoint had when it ended. Evidence: a soak's logs with hundreds of lines of one end, and
-    an innocent request at two ends within 22 ms.
+    An endpoint terminates behind a proxy that still accepts connections; requests sent there break
+    off until it is back. Without a check of the send time each of them counts as running when the
+    endpoint terminated: an unrelated request was counted at two terminations within 22 ms.
     """
 
     async def run() -> None:
@@ -104,11 +104,12 @@
     play(run())
 
 
-def test_an_end_is_proved_by_the_next_life_where_nothing_else_could_be_asked() -> None:
-    """Symptom: a request ends endpoints for ever while paths to these are disturbed.
+def test_a_new_incarnation_confirms_a_termination_behind_a_cut_path() -> None:
+    """Failure: a request keeps crashing endpoints while the network paths to them fail.
 
-    Sequence: the endpoint ends, and its address does not answer; its next life is listed under the
-    same name. Cause: what could not be proved at once was forgotten.
+    The endpoint terminates and its address does not answer; its next incarnation is listed under
+    the same name. Broken answers must be kept until then, although nothing can be confirmed at
+    first.
     """
 
     async def run() -> None:
@@ -121,19 +122,19 @@
             link.reset_open()
             await asked
             assert suspects(fleet) == 0
-            next_life = {**entry, "born": BORN_MS + 1_000}
-            await fleet.store.put("servers", "e1", next_life)
+            next_entry = {**entry, "born": BORN_MS + 1_000}
+            await fleet.store.put("servers", "e1", next_entry)
             await until(lambda: suspects(fleet) == 1)
 
     play(run())
 
 
-def test_broken_answers_that_grow_old_while_they_are_looked_at_cost_nothing() -> None:
-    """Symptom: requests whose answers break off are answered 500, at any endpoint, for good.
+def test_broken_answers_that_expire_during_a_check_are_dropped() -> None:
+    """Failure: every request whose answer breaks off is answered 500, at any endpoint, forever.
 
-    Sequence: an answer breaks off and its endpoint's end is not proved; the entry goes just before
-    the answer is too old to count, and the look that follows is longer. Cause: an empty list was
-    kept of it, whose last item was asked for each time.
+    An answer breaks off and no termination is confirmed. The endpoint's entry goes just before the
+    answer expires, and the check outlasts it. An empty list of answers must not be kept, since the
+    last item of each list is read on every check.
     """
 
     async def run() -> None:
@@ -141,9 +142,9 @@
         async with Fleet({"pool": engines}) as fleet:
             witness = fleet.gateway._witness
             await fleet.ask("/rewrite/x", body=b"breaks off")
-            (look,) = witness._unconfirmed.values()
-            look.lost = [one._replace(at_ms=one.at_ms - UNCONFIRMED_MS) for one in look.lost]
-            witness._keep_unconfirmed(look)
+            (check,) = witness._unconfirmed.values()
+            check.lost = [one._replace(at_ms=one.at_ms - UNCONFIRMED_MS) for one in check.lost]
+            witness._keep_unconfirmed(check)
             assert witness._unconfirmed == {}
             for number in range(2):
                 assert (await fleet.ask("/rewrite/x", body=b"%d" % number)).status != 500
@@ -151,10 +152,10 @@
     play(run())
 
 
-def test_an_endpoint_that_ended_gets_no_work_though_it_is_listed() -> None:
-    """Symptom: after an end each router finds out by refused connections of its own, for seconds.
+def test_a_terminated_endpoint_that_is_still_listed_gets_no_requests() -> None:
+    """Failure: each router detects a termination seconds late, by its own refused connections.
 
-    Cause: an entry that has not lapsed yet was believed against proof.
+    That happens if an entry that has not expired yet outweighs a confirmed termination.
     """
 
     async def run() -> None:
--- a/tests/test_event_relay.py
+++ b/tests/test_event_relay.py
@@ -1,4 +1,4 @@
-"""Streams are passed on where they are read, to callers that read slowly, too."""
+"""Tests that streams are relayed as they are read, also to slow callers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Transport:
-    """Stands for a socket; keeps what is written."""
+    """Replaces a socket transport; records what is written."""
 
     def __init__(self) -> None:
         self.written = b""
@@ -65,12 +65,12 @@
 
 
 class Streaming:
-    """A caller and an engine with a stream between them; use `play` around it."""
+    """A caller and an engine with a stream between them; requires a running event loop."""
 
     def __init__(self) -> None:
         clock = BootClock()
         self.to_caller, self.to_engine = Transport(), Transport()
-        self.caller = CallerConnection(_unasked, clock, CallerBounds, set())
+        self.caller = CallerConnection(_reject_request, clock, CallerBounds, set())
         self.caller.connection_made(self.to_caller)
         self.engine = EndpointConnection()
         self.engine.connection_made(self.to_engine)
@@ -91,12 +91,12 @@
     def _first(self) -> None:
         self.firsts += 1
 
-    def come(self, data: bytes) -> None:
-        """Bytes of the stream, as one chunk of the engine's answer."""
+    def receive(self, data: bytes) -> None:
+        """Receive bytes of the stream, as one chunk of the engine's answer."""
         self.engine.data_received(b"%x\r\n%s\r\n" % (len(data), data))
 
 
-async def _unasked(request: Request, caller: CallerConnection) -> None:
+async def _reject_request(request: Request, caller: CallerConnection) -> None:
     raise AssertionError("no request was sent")
 
 
@@ -104,16 +104,16 @@
     return b"id: %d\ndata: x\n\n" % number
 
 
-def test_events_are_written_where_they_are_read() -> None:
-    async def story() -> None:
+def test_events_are_written_in_the_callback_that_reads_them() -> None:
+    async def run() -> None:
         stream = Streaming()
-        stream.come(event(0))
+        stream.receive(event(0))
         await asyncio.sleep(0)
         assert event(0) in stream.to_caller.written
-        stream.come(event(1) + event(2)[:5])
+        stream.receive(event(1) + event(2)[:5])
         assert event(1) in stream.to_caller.written
         assert event(2)[:5] not in stream.to_caller.written.rpartition(event(1))[2]
-        stream.come(event(2)[5:])
+        stream.receive(event(2)[5:])
         stream.engine.data_received(END)
         await stream.whole
         stream.relay.end()
@@ -121,55 +121,55 @@
         assert stream.to_caller.written.endswith(END)
         assert stream.firsts == 1
 
-    play(story())
+    play(run())
 
 
-def test_an_engine_is_read_no_faster_than_its_caller_reads() -> None:
-    """Symptom: a router's memory grows with a caller that does not read.
+def test_reading_from_an_engine_pauses_for_a_slow_caller() -> None:
+    """Failure: a router's memory grows with a caller that does not read.
 
-    Sequence: the engine streams on, and what it sends waits in the router.
+    The engine keeps streaming, and its events are buffered in the router without limit.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         stream = Streaming()
         await asyncio.sleep(0)
         stream.caller.pause_writing()
-        stream.come(event(0))
+        stream.receive(event(0))
         assert not stream.to_engine.reading
         assert stream.relay.silent_ms == 0.0
         stream.caller.resume_writing()
         assert stream.to_engine.reading
         stream.whole.cancel()
 
-    play(story())
+    play(run())
 
 
-def test_a_connection_paused_by_its_last_event_is_read_again_when_kept() -> None:
-    """Symptom: a request on a kept connection gets no answer, from an engine that answers.
+def test_a_connection_paused_by_the_last_event_resumes_when_reused() -> None:
+    """Failure: a request on a reused connection gets no answer from an engine that answers.
 
-    Sequence: the last bytes of a stream find its caller slow, and reading is paused; the answer is
-    whole, the connection is given back, and nobody resumes it.
+    Reading is paused for a slow caller at the last bytes of a stream. The answer is complete and
+    the connection is returned to the pool, but nothing resumes reading.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         stream = Streaming()
         await asyncio.sleep(0)
         stream.caller.pause_writing()
-        stream.come(event(0))
+        stream.receive(event(0))
         stream.engine.data_received(END)
         await stream.whole
         assert stream.engine.finish(0.0)
         assert stream.to_engine.reading
 
-    play(story())
+    play(run())
 
 
-def test_what_breaks_a_stream_is_raised_where_it_is_waited_for() -> None:
-    async def story() -> None:
+def test_stream_errors_are_raised_to_the_waiting_task() -> None:
+    async def run() -> None:
         gap = Streaming()
-        gap.come(event(0))
+        gap.receive(event(0))
         await asyncio.sleep(0)
-        gap.come(event(2))
+        gap.receive(event(2))
         with pytest.raises(BadStreamError):
             await gap.whole
         assert gap.to_engine.closed
@@ -178,11 +178,11 @@
         lost.engine.connection_lost(None)
         with pytest.raises(ConnectionLostError):
             await lost.whole
-        torn = Streaming()
-        torn.come(event(0) + b"id: 1")
-        torn.engine.data_received(END)
-        await torn.whole
+        incomplete = Streaming()
+        incomplete.receive(event(0) + b"id: 1")
+        incomplete.engine.data_received(END)
+        await incomplete.whole
         with pytest.raises(BrokenAnswerError):
-            torn.relay.end()
+            incomplete.relay.end()
 
-    play(story())
+    play(run())
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The path of a request through one router, with the platform's stand-ins around it."""
+"""Tests the path of a request through one router, with stand-ins for the platform."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 STREAM = Script(events=5)
 
 
-def test_a_calm_request_is_answered_by_its_service() -> None:
-    async def story() -> None:
+def test_a_request_is_answered_by_its_service() -> None:
+    async def run() -> None:
         web, pool = PlatformWorker("w1"), PlatformWorker("e1", STREAM)
         async with Fleet({"web": [web], "pool": [pool]}) as fleet:
             page = await fleet.ask("/page/1?q=2")
@@ -46,23 +46,23 @@
             assert "authorization" not in arrived
             assert 0 < int(arrived["x-deadline-ms"]) <= 4000
 
-    play(story())
+    play(run())
 
 
-def test_headers_of_the_routers_own_do_not_come_from_callers() -> None:
-    """Symptom: a worker runs a request for another workspace, or from another's memory.
+def test_router_headers_from_callers_are_dropped() -> None:
+    """Failure: a worker runs a request for another workspace, or with another request's cache.
 
-    Sequence: a caller sends the headers that only routers set. Cause: they were passed on.
+    A caller sends headers that only routers may set; they must not be passed on.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         web = PlatformWorker("w1")
         async with Fleet({"web": [web]}) as fleet:
             await fleet.ask("/page/1", X_Tenant="other", X_Hold="h", Kv_From="1.2.3.4:5/x")
             arrived = web.arrived[0].headers
             assert not {"x-tenant", "x-hold", "kv-from"} & arrived.keys()
 
-    play(story())
+    play(run())
 
 
 @pytest.mark.parametrize(
@@ -76,14 +76,14 @@
         "Host: other.example\r\nContent-Length: 3",
     ],
 )
-def test_a_request_with_two_readings_is_refused(head: str) -> None:
-    """Symptom: a worker runs a request that no caller sent.
+def test_a_request_with_ambiguous_framing_is_refused(head: str) -> None:
+    """Failure: a worker runs a request that no caller sent.
 
-    Sequence: a request's framing can be read in two ways, and its body holds a second request.
-    Cause: router and worker read it differently.
+    A request's framing can be parsed in two ways, and its body holds a second request. Router and
+    worker parse it differently (request smuggling).
     """
 
-    async def story() -> None:
+    async def run() -> None:
         web = PlatformWorker("w1")
         async with Fleet({"web": [web]}) as fleet:
             raw = f"POST /page/1 HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: a\r\n{head}\r\n\r\nabc"
@@ -91,22 +91,22 @@
             assert answer.status == 400
             assert not web.arrived
 
-    play(story())
+    play(run())
 
 
-def test_a_caller_reads_the_refusal_of_an_over_long_body() -> None:
-    """Symptom: a caller with an over-long body gets a broken pipe in place of the refusal.
+def test_a_caller_reads_the_refusal_of_a_too_long_body() -> None:
+    """Failure: a caller with a too long body gets a broken pipe instead of the refusal.
 
-    Sequence: the router answers 413 and closes while the body is still coming. Cause: closing with
-    unread bytes resets the connection, and the caller never reads the answer.
+    The router answers 413 while the body still arrives. Closing with unread bytes resets the
+    connection, and the caller never reads the answer.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         async with Fleet({"web": [PlatformWorker("w1")]}) as fleet:
             answer = await fleet.ask("/page/1", body=b"x" * 400_000)
             assert answer.status == 413
 
-    play(story())
+    play(run())
 
 
 @pytest.mark.parametrize(
@@ -119,94 +119,94 @@
         Script(reset=True),
     ],
 )
-def test_an_answer_that_is_not_the_requests_own_is_never_passed_on(script: Script) -> None:
-    """Symptom: a caller gets a success that is not its own, or not whole.
+def test_an_answer_to_another_request_is_never_passed_on(script: Script) -> None:
+    """Failure: a caller gets a success that belongs to another request or is incomplete.
 
-    Sequence: the worker answers for another attempt, unsigned, or breaks off. Cause: the router
-    took whatever came next on the connection for the answer. The request may have run: it must
-    neither be sent again nor be refused as if it had not.
+    The worker answers for another attempt, unsigned, or breaks off. The router must not take
+    whatever arrives next on the connection for the answer. The request may have run: it must
+    neither be retried nor be refused as not run.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         web, other = PlatformWorker("w1", script), PlatformWorker("w2", script)
         async with Fleet({"web": [web, other]}) as fleet:
             answer = await fleet.ask("/page/1")
             assert answer.status == 502
             assert len(web.arrived) + len(other.arrived) == 1
 
-    play(story())
+    play(run())
 
 
-def test_an_unframed_answer_ends_with_an_orderly_close() -> None:
-    async def story() -> None:
+def test_an_answer_without_a_length_ends_with_an_orderly_close() -> None:
+    async def run() -> None:
         async with Fleet({"web": [PlatformWorker("w1", Script(unframed=True))]}) as fleet:
             answer = await fleet.ask("/page/1")
             assert (answer.status, answer.body) == (200, b"hello")
 
-    play(story())
+    play(run())
 
 
 def test_bytes_after_an_answer_belong_to_no_request() -> None:
-    """Symptom: a caller gets the answer to another's request.
+    """Failure: a caller gets the answer to another caller's request.
 
-    Sequence: a worker sends a second answer on a kept connection, where the next request's answer
-    is expected. Cause: the connection was used again.
+    A worker sends a second answer on a persistent connection, where the answer to the next request
+    is expected. Such a connection must not be reused.
     """
     extra = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: stray\r\ncontent-length: 5\r\n\r\nwrong"
 
-    async def story() -> None:
+    async def run() -> None:
         web = PlatformWorker("w1", Script(extra=extra), Script())
         async with Fleet({"web": [web]}) as fleet:
             first, second = await fleet.ask("/page/1"), await fleet.ask("/page/2")
             assert (first.body, second.body) == (b"hello", b"hello")
             assert web.connections == 2
 
-    play(story())
+    play(run())
 
 
-def test_a_request_that_a_worker_rejects_is_refused_truthfully() -> None:
-    async def story() -> None:
+def test_a_request_that_a_worker_rejects_is_refused_as_not_run() -> None:
+    async def run() -> None:
         shed = Script(status=503, not_run=True, body=b"")
         async with Fleet({"web": [PlatformWorker("w1", shed)]}) as fleet:
             answer = await fleet.ask("/page/1")
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
 
-    play(story())
+    play(run())
 
 
-def test_a_503_without_the_promise_is_not_passed_on_as_one() -> None:
-    """Symptom: a caller repeats a request that has run.
+def test_a_503_that_may_have_run_is_not_passed_on() -> None:
+    """Failure: a caller repeats a request that has run.
 
-    Sequence: a worker runs a request and answers 503 without saying that it has not run. Cause: the
-    status alone reads as that promise.
+    A worker runs a request and answers 503 without the header that says it has not run. To the
+    caller the status alone would mean that.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         async with Fleet({"web": [PlatformWorker("w1", Script(status=503))]}) as fleet:
             assert (await fleet.ask("/page/1")).status == 502
 
-    play(story())
+    play(run())
 
 
-def test_an_idempotent_request_is_asked_again_elsewhere() -> None:
-    async def story() -> None:
+def test_an_idempotent_request_is_retried_at_another_endpoint() -> None:
+    async def run() -> None:
         bad, good = PlatformWorker("w1", Script(status=500)), PlatformWorker("w2")
         async with Fleet({"web": [bad, good]}) as fleet:
             answers = [await fleet.ask("/search/1", method="GET", body=b"") for _ in range(3)]
             assert [answer.status for answer in answers] == [200, 200, 200]
 
-    play(story())
+    play(run())
 
 
-def test_an_early_answer_to_a_long_body_leaves_the_next_request_whole() -> None:
-    """Symptom: an endpoint reads a request's head where the rest of a body is due.
+def test_an_early_answer_to_a_long_body_does_not_corrupt_the_next_request() -> None:
+    """Failure: an endpoint reads the head of a request where the rest of a body is expected.
 
-    Sequence: an endpoint answers before it has read a long body, keeps the connection and reads on.
-    Cause: the next request was written before the rest of that body.
+    An endpoint answers before it has read a long body, keeps the connection open and reads on. The
+    next request must not be written before the rest of that body.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         web = PlatformWorker("w1", Script(early=True))
         async with Fleet({"web": [web]}) as fleet:
             bodies = [bytes([65 + number]) * 90_000 for number in range(4)]
@@ -215,17 +215,17 @@
             await until(lambda: len(web.arrived) == len(bodies))
             assert [arrived.body for arrived in web.arrived] == bodies
 
-    play(story())
+    play(run())
 
 
-def test_an_idempotent_request_is_not_held_by_a_silent_endpoint() -> None:
-    """Symptom: a request that may be repeated waits until its deadline.
+def test_an_idempotent_request_is_retried_when_its_endpoint_is_silent() -> None:
+    """Failure: a request that may be repeated waits until its deadline.
 
-    Sequence: an endpoint runs it and its answer is lost, or the connection is silent for good.
-    Cause: the router waited for that endpoint alone.
+    An endpoint runs it and its answer is lost, or the connection stops responding. The router must
+    not wait for that endpoint alone.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         silent = [PlatformWorker(name) for name in ("w1", "w2")]
         silent[0]._scripts = silent[1]._scripts = [Script(silent=True), Script()]
         async with Fleet({"web": silent}) as fleet:
@@ -233,17 +233,17 @@
             assert answer.status == 200
             assert sum(len(worker.arrived) for worker in silent) == 2
 
-    play(story())
+    play(run())
 
 
-def test_a_stream_that_falls_silent_goes_on_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Symptom: a caller gives up a stream although another engine could go on with it.
+def test_a_stream_that_stops_resumes_at_another_engine(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Failure: a caller gives up a stream although another engine could resume it.
 
-    Sequence: an engine goes dark and its open connection stays silent. Cause: the router waited for
-    a reset that never comes.
+    An engine is gone and its open connection stops responding. The router must not wait for a
+    reset, which never arrives.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         from tamarack_gateway import patience
 
         monkeypatch.setattr(patience, "FIRST_EVENT_SLACK_MS", 100.0)
@@ -254,17 +254,17 @@
             assert (answer.status, answer.whole) == (200, True)
             await until(lambda: sum(engine.closed_early for engine in engines) == 1)
 
-    play(story())
+    play(run())
 
 
-def test_a_broken_stream_goes_on_at_another_worker() -> None:
-    """Symptom: a stream has a gap, a piece twice, or ends as if it were whole.
+def test_a_broken_stream_resumes_at_another_worker() -> None:
+    """Failure: a stream has a gap or a repeated piece, or ends as if it were complete.
 
-    Sequence: a worker breaks off in the middle of an event. Cause: half an event was passed on, or
-    the second worker began anew.
+    A worker breaks off in the middle of an event. An incomplete event must not be passed on, and
+    the second worker must not start from the beginning.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         script = Script(events=5, cut_after=2)
         workers = [PlatformWorker("e1", script, STREAM), PlatformWorker("e2", script, STREAM)]
         workers[0]._scripts = workers[1]._scripts = [script, STREAM]
@@ -276,11 +276,11 @@
             arrived = [arrival for worker in workers for arrival in worker.arrived]
             assert [a.headers.get("last-event-id") for a in arrived] in ([None, "2"], ["2", None])
 
-    play(story())
+    play(run())
 
 
-def test_a_stream_that_may_not_resume_is_cut_visibly() -> None:
-    async def story() -> None:
+def test_a_stream_that_may_not_resume_is_cut_detectably() -> None:
+    async def run() -> None:
         workers = [PlatformWorker(name, Script(events=5, cut_after=2)) for name in ("e1", "e2")]
         async with Fleet({"pool": workers}) as fleet:
             answer = await fleet.ask("/rewrite/1")
@@ -288,17 +288,17 @@
             assert answer.body.endswith(b"\n\n")
             assert sum(len(worker.arrived) for worker in workers) == 1
 
-    play(story())
+    play(run())
 
 
 def test_an_endpoint_stops_when_its_caller_has_gone() -> None:
-    """Symptom: engines work for callers that have left.
+    """Failure: engines work for callers that have left.
 
-    Sequence: a caller closes its connection while it waits. Cause: the connection to the endpoint
-    stayed open.
+    A caller closes its connection while it waits. The connection to the endpoint must be closed as
+    well.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         pool = PlatformWorker("e1", Script(silent=True))
         async with Fleet({"pool": [pool]}) as fleet:
             _, writer = await connect(fleet.gateway.callers)
@@ -307,37 +307,37 @@
             writer.close()
             await until(lambda: pool.closed_early == 1)
 
-    play(story())
+    play(run())
 
 
 def test_a_request_gets_its_final_answer_at_the_routes_time_limit() -> None:
-    async def story() -> None:
+    async def run() -> None:
         pool = PlatformWorker("e1", Script(silent=True))
         async with Fleet({"pool": [pool]}) as fleet:
             answer = await fleet.ask("/rewrite/1", X_Deadline_Ms="120")
             assert answer.status == 504
 
-    play(story())
+    play(run())
 
 
 def test_unknown_keys_and_routes_are_denied() -> None:
-    async def story() -> None:
+    async def run() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             wrong = await fleet.ask("/rewrite/1", Authorization="Token wrong")
             nowhere = await fleet.ask("/nowhere/1")
             assert (wrong.status, nowhere.status) == (401, 404)
 
-    play(story())
+    play(run())
 
 
-def test_keys_lapse_while_the_store_cannot_be_asked() -> None:
-    """Symptom: a request runs under a key that was taken away seconds ago.
+def test_keys_expire_while_the_store_is_unreachable() -> None:
+    """Failure: a request runs under a key that was revoked seconds ago.
 
-    Sequence: the store falls silent for one router; the key is taken away meanwhile. Cause: the
-    router went on with what it knew. Routes without a key are served all the same.
+    The store does not respond to one router, and the key is revoked meanwhile. The router must not
+    trust its local state for longer. Routes without a key are still served.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         workers = {"web": [PlatformWorker("w1")], "pool": [PlatformWorker("e1", STREAM)]}
         async with Fleet(workers, revoke_ms=900.0) as fleet:
             fleet.store.silent = True
@@ -346,11 +346,11 @@
             assert (await fleet.ask("/draft/1")).status == 503
             assert (await fleet.ask("/page/1")).status == 200
 
-    play(story())
+    play(run())
 
 
 def test_a_change_is_in_force_and_versions_only_rise() -> None:
-    async def story() -> None:
+    async def run() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             state = fleet.gateway.state
             newer = configuration(5, tenants=[{"name": "shop", "apiKeys": ["key-two"]}])
@@ -365,11 +365,11 @@
             assert state.rules is not None
             assert state.rules.version == 5
 
-    play(story())
+    play(run())
 
 
 def test_a_draining_endpoint_gets_no_new_work() -> None:
-    async def story() -> None:
+    async def run() -> None:
         leaving, staying = PlatformWorker("w1"), PlatformWorker("w2")
         async with Fleet({"web": [leaving, staying]}) as fleet:
             await fleet.store.put("servers", "w1", leaving.entry("web", state="draining"))
@@ -378,17 +378,17 @@
                 await fleet.ask("/page/1")
             assert len(staying.arrived) == 6
 
-    play(story())
+    play(run())
 
 
-def test_a_reused_address_does_not_run_a_strangers_request() -> None:
-    """Symptom: a service runs a request of another one.
+def test_a_reused_address_does_not_run_another_services_request() -> None:
+    """Failure: a service runs a request for another service.
 
-    Sequence: a worker crashes and its address is given to a worker of another service, while the
-    list still names the first. Cause: only the address was looked at.
+    A worker crashes and its address is given to a worker of another service, while the list still
+    names the first one. Checking the address alone is not enough.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         stranger = PlatformWorker("stranger")
         async with Fleet({"web": []}) as fleet, stranger:
             await fleet.store.put("servers", "w1", stranger.entry("web"))
@@ -396,17 +396,17 @@
             assert (await fleet.ask("/page/1")).status == 503
             assert not stranger.arrived
 
-    play(story())
+    play(run())
 
 
 def test_a_leaving_router_serves_callers_until_they_have_gone() -> None:
-    """Symptom: a request is taken long after SIGTERM and cut when the process ends.
+    """Failure: a request is accepted long after SIGTERM and cut when the process exits.
 
-    Sequence: a caller that still has the address sends a stream seconds after the request to stop.
-    Cause: new work was begun until the very end of the grace time.
+    A caller that still has the address sends a stream seconds after the router was told to stop.
+    New requests must not be accepted until the end of the grace time.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         workers = {
             "web": [PlatformWorker("w1")],
             "pool": [PlatformWorker("e1", Script(silent=True))],
@@ -429,26 +429,26 @@
             running.cancel()
             await leaving
 
-    play(story())
+    play(run())
 
 
-def test_callers_are_told_of_all_routers_that_are_ready() -> None:
-    """Symptom: callers are sent to a router that has left.
+def test_the_directory_lists_all_ready_routers() -> None:
+    """Failure: callers are directed to a router that has left.
 
-    Sequence: one of two routers stops. Cause: its address stayed in the answers of the other.
+    One of two routers stops. Its address must disappear from the answers of the other.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         fleet = Fleet({"web": [PlatformWorker("w1")]})
         async with fleet, fleet.router("router-2") as second:
             await until(lambda: second.state.ready)
             both = {fleet.gateway.callers, second.callers}
-            await told(fleet, both)
+            await until_listed(fleet, both)
             now_ms = second.state.clock.now_ms
             second.state.leaving = plan_leaving(now_ms, grace_ms=8_000.0, address_ttl_ms=1_000.0)
-            await told(fleet, {fleet.gateway.callers})
+            await until_listed(fleet, {fleet.gateway.callers})
 
-    play(story())
+    play(run())
 
 
 async def ready(fleet: Fleet) -> object:
@@ -456,8 +456,8 @@
     return await site_call(fleet, "/api/ready")
 
 
-async def told(fleet: Fleet, expected: set[str]) -> None:
-    """Wait until callers are told just these addresses."""
+async def until_listed(fleet: Fleet, expected: set[str]) -> None:
+    """Wait until the directory lists exactly these addresses."""
     async with asyncio.timeout(10):
         while True:
             answer = await site_call(fleet, f"/api/resolve?name={HOST}&zone=a")
@@ -467,7 +467,7 @@
 
 
 async def site_call(fleet: Fleet, target: str) -> object:
-    """Make a call of the platform's."""
+    """Make a request to the router's site address."""
     reader, writer = await connect(fleet.gateway.site_addresses[0])
     writer.write(f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     answer = await read_answer(reader)
@@ -476,26 +476,26 @@
 
 
 def test_the_key_itself_is_not_logged(capfd: pytest.CaptureFixture[str]) -> None:
-    async def story() -> None:
+    async def run() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             await fleet.ask("/rewrite/1", Authorization="Token wrong")
             await fleet.ask("/rewrite/1")
 
-    play(story())
+    play(run())
     written = capfd.readouterr().err
     assert '"message":"request: denied"' in written
     assert KEY not in written
 
 
-def test_an_endpoint_that_goes_seconds_after_an_outage_is_gone_at_once() -> None:
-    """Symptom: an endpoint that left gets new work for more than two seconds.
+def test_an_endpoint_removed_shortly_after_an_outage_is_gone_at_once() -> None:
+    """Failure: an endpoint that left gets new requests for more than two seconds.
 
-    Sequence: the store turns a router away and serves it again; seconds later an entry is removed.
-    Cause: the first call after the outage waited for a change, so that the router took the time of
-    that change for the store's return, and the removal for a lapse in the outage.
+    The store rejects a router's calls and serves it again; seconds later an entry is removed. If
+    the first call after the outage waits for a change, the router takes the time of that change for
+    the end of the outage, and the removal for an entry that expired during it.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         async with Fleet({"web": [PlatformWorker("w1"), PlatformWorker("w2")]}) as fleet:
             feeds = fleet.gateway._feeds
             follower = feeds._followers["servers"]
@@ -508,23 +508,23 @@
             await fleet.store.remove("servers", "w1")
             await until(lambda: len(fleet.gateway.state.book) < 2)
 
-    play(story())
+    play(run())
 
 
-def test_a_fault_of_the_program_does_not_leave_a_caller_waiting() -> None:
-    """Symptom: a caller gets neither an answer nor a close, and its connection stays open.
+def test_an_unexpected_exception_does_not_leave_a_caller_waiting() -> None:
+    """Failure: a caller gets neither an answer nor a close, and its connection stays open.
 
-    Sequence: handling its request raises an error that nobody expects. Cause: the task that served
-    the connection ended, and the connection did not.
+    Handling its request raises an unexpected exception, which ends the task that serves the
+    connection. The connection must be closed as well.
     """
 
-    async def story() -> None:
-        async def fault(request: Request, caller: CallerConnection) -> None:
+    async def run() -> None:
+        async def raise_error(request: Request, caller: CallerConnection) -> None:
             raise ZeroDivisionError
 
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
-            lambda: CallerConnection(fault, BootClock(), CallerBounds, set()), "127.0.0.1", 0
+            lambda: CallerConnection(raise_error, BootClock(), CallerBounds, set()), "127.0.0.1", 0
         )
         host, port = server.sockets[0].getsockname()[:2]
         reader, writer = await connect(f"{host}:{port}")
@@ -534,19 +534,19 @@
         writer.close()
         server.close()
 
-    play(story())
+    play(run())
 
 
-def test_an_endpoint_that_goes_while_a_connection_is_made_gets_no_request(
+def test_an_endpoint_removed_while_a_connection_is_made_gets_no_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: an endpoint gets new work after all routers know that it leaves.
+    """Failure: an endpoint gets a new request after all routers know that it leaves.
 
-    Sequence: a router waits for a connection to it; meanwhile its entry goes. Cause: keys and time
-    were asked again after the wait, and not whether the endpoint may still get work.
+    A router waits for a connection to it, and its entry is removed meanwhile. After the wait, not
+    only keys and time must be checked again but also whether the endpoint may still get requests.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         worker = PlatformWorker("w1")
         async with Fleet({"web": [worker]}) as fleet:
             take, gone = ConnectionPool.take, asyncio.Event()
@@ -564,4 +564,4 @@
             assert (await asked).status == 503
             assert not worker.arrived
 
-    play(story())
+    play(run())
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -1,4 +1,4 @@
-"""What a router that was told to stop still takes, and what it refuses."""
+"""Tests which requests a stopping router still accepts and which it refuses."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from tamarack_standins.platform_worker import Arrived, PlatformWorker, Script
 
 TOKENS_PER_EVENT = 5
-"""As the configuration of the fleet tells it."""
+"""The `stride` of the service in the configuration of the fleet."""
 
 EVENT_S = 0.05
 
 
 class SteadyEngine(PlatformWorker):
-    """Generates as many tokens as a request allows, at an even pace; may reject some first."""
+    """Generates as many tokens as a request allows at a constant rate; may reject some first."""
 
     def __init__(self, name: str) -> None:
         super().__init__(name)
@@ -32,26 +32,24 @@
         return Script(events=tokens // TOKENS_PER_EVENT, event_pause_s=EVENT_S)
 
 
-async def learn(fleet: Fleet, path: str, **more: str) -> None:
-    """Let the router see streams end, as many as it needs to know how long they take."""
+async def observe_streams(fleet: Fleet, path: str, **more: str) -> None:
+    """Have the router observe enough complete streams to predict their duration."""
     answers = await asyncio.gather(*(fleet.ask(path, **more) for _ in range(LEAST_READINGS)))
     assert all(answer.whole for answer in answers)
 
 
 def test_a_leaving_router_takes_no_stream_that_outlasts_it() -> None:
-    """Symptom: a stream begins to arrive and breaks off; its engine and the network are sound.
+    """Failure: a stream is cut although its engine and the network work.
 
-    Sequence: a router is told to stop and goes on serving callers that still have its address; one
-    sends a stream that runs for longer than the router has left; at its last exit the router ends
-    whatever runs. Cause: what is taken after the request to stop was never compared with the time
-    that is left. Evidence: cuts lie at the last exit, 0.93 of the grace time, whenever the stream
-    began, and the log has them as `cut` because the router ends, with no failure of an endpoint.
+    A router that was told to stop still serves callers that have its address. A stream that runs
+    for longer than the router has left is cut when the router exits, at 0.93 of the grace time. The
+    router must compare the predicted duration with the time left before it sends the request.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         engine = SteadyEngine("e1")
         async with Fleet({"pool": [engine]}, grace_ms=3_000.0) as fleet:
-            await learn(fleet, "/rewrite/1")
+            await observe_streams(fleet, "/rewrite/1")
             leaving = asyncio.ensure_future(fleet.gateway.leave())
             await until(lambda: fleet.gateway.state.leaving is not None)
             short = await fleet.ask("/rewrite/2", X_Token_Usage="300,10")
@@ -64,21 +62,21 @@
         assert answer.headers["connection"] == "close"
         assert len(engine.arrived) == LEAST_READINGS + 1
 
-    play(story())
+    play(run())
 
 
-def test_estimates_that_are_exceeded_do_not_make_a_long_stream_short() -> None:
-    """Symptom: a stream that a stopping router has taken breaks off.
+def test_streams_may_exceed_the_callers_length_estimate() -> None:
+    """Failure: a stream that a stopping router accepted is cut.
 
-    Sequence: callers expect fewer tokens than their streams come to. Cause: the time that a stream
-    takes was bounded by the estimate, as if it held.
+    Callers expect fewer tokens than their streams have. The caller's estimate must not be used as
+    an upper bound of the duration.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         engine = SteadyEngine("e1")
         async with Fleet({"pool": [engine]}, grace_ms=3_000.0) as fleet:
             short = {"X_Token_Usage": "300,100", "X_Length_Hint": "30"}
-            await learn(fleet, "/rewrite/1", **short)
+            await observe_streams(fleet, "/rewrite/1", **short)
             leaving = asyncio.ensure_future(fleet.gateway.leave())
             await until(lambda: fleet.gateway.state.leaving is not None)
             long = {"X_Token_Usage": "300,400", "X_Length_Hint": "120"}
@@ -86,21 +84,21 @@
             assert len(engine.arrived) == LEAST_READINGS
             await leaving
 
-    play(story())
+    play(run())
 
 
-def test_a_request_that_was_read_before_the_stop_is_asked_again_after_a_wait() -> None:
-    """Symptom: a stream that came before the request to stop breaks off.
+def test_the_time_left_is_checked_again_before_a_retry() -> None:
+    """Failure: a stream that arrived before the router was told to stop is cut.
 
-    Sequence: its first engine rejects it after a second; meanwhile the router is told to stop, and
-    has less time than the stream takes when it would send it to the next engine. Cause: whether it
-    can end was asked once, before the wait.
+    The first engine rejects the request after a second. Meanwhile the router is told to stop, and
+    at the retry has less time left than the stream takes. The time left must be checked again after
+    each wait.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         engines = [SteadyEngine("e1"), SteadyEngine("e2")]
         async with Fleet({"pool": list(engines)}, grace_ms=1_000.0) as fleet:
-            await learn(fleet, "/draft/1")
+            await observe_streams(fleet, "/draft/1")
             for engine in engines:
                 engine.rejects = 1
             sent = LEAST_READINGS + 1
@@ -112,7 +110,7 @@
             assert sum(len(engine.arrived) for engine in engines) == sent
             await leaving
 
-    play(story())
+    play(run())
 
 
 @pytest.mark.parametrize(
@@ -122,16 +120,16 @@
         (Script(events=100, event_pause_s=EVENT_S), "cut", 200),
     ],
 )
-def test_what_a_router_ends_itself_is_answered_truthfully_and_told_of_in_the_log(
+def test_requests_cancelled_at_exit_are_answered_and_logged(
     script: Script, became: str, status: int, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """Symptom: a caller's connection closes without an answer; the log says that the caller left.
+    """Failure: a connection closes without an answer, and the log says that the caller left.
 
-    Sequence: a stream that came before the request to stop still runs at the router's last exit.
-    Cause: connections were closed whatever ran on them, and the log was closed before.
+    A stream that arrived before the router was told to stop still runs when the router exits. The
+    caller must get an answer, and the log must show the reason before it is closed.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         engine = PlatformWorker("e1", script)
         async with Fleet({"pool": [engine]}, grace_ms=500.0) as fleet:
             reader, writer = await connect(fleet.gateway.callers)
@@ -144,7 +142,7 @@
         assert (answer.status, answer.whole) == (status, became == "failed")
         assert state.log.decisions[became, "the router ends"] == 1
 
-    play(story())
+    play(run())
     lines = [json.loads(line) for line in capfd.readouterr().err.splitlines() if line[:1] == "{"]
     (ended,) = [line for line in lines if line.get("reason") == "the router ends"]
     assert (ended["message"], ended["request"]) == (f"request: {became}", "attempt1")
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -1,4 +1,4 @@
-"""Silence, suspension, late writes, and callers that leave or are too many."""
+"""Tests unresponsive peers, suspension, late writes, and callers that leave or are too many."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class JumpingClock(BootClock):
-    """A clock that a test moves ahead, as it is after a suspension."""
+    """A clock that a test moves ahead, as after a suspension."""
 
     def __init__(self) -> None:
         self.ahead_ms = 0.0
@@ -30,17 +30,17 @@
         return super().now_ms + self.ahead_ms
 
 
-def test_a_change_comes_through_after_connections_to_the_store_have_gone_silent(
+def test_a_change_arrives_after_store_connections_stop_responding(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: a router never hears of a new configuration, though the store works.
+    """Failure: a router never receives a new configuration although the store works.
 
-    Sequence: its open connections to the store go silent without a reset; the configuration
-    changes; new connections work. Cause: a call was waited for without a timeout of its own.
+    Its open connections to the store stop responding without a reset, and new connections work. A
+    call without its own timeout would wait on the old connection forever.
     """
     monkeypatch.setattr(store_client, "CALL_MS", 300.0)
 
-    async def story() -> None:
+    async def run() -> None:
         async with (
             Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet,
             FaultProxy(fleet.store.address) as link,
@@ -51,17 +51,17 @@
             await fleet.store.put("op", "config", configuration(7))
             await until(lambda: router.state.rules.version == 7)
 
-    play(story())
+    play(run())
 
 
-def test_a_kept_connection_that_went_silent_costs_an_idempotent_request_nothing() -> None:
-    """Symptom: a request that may be repeated is never answered.
+def test_an_idempotent_request_survives_an_unresponsive_idle_connection() -> None:
+    """Failure: a request that may be repeated is never answered.
 
-    Sequence: a connection to an endpoint is kept and goes silent while it is idle; the next request
-    is sent on it. Cause: the router waits for its answer until the deadline.
+    An idle connection to an endpoint stops responding, and the next request is sent on it. The
+    router must not wait for its answer until the deadline.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         worker = PlatformWorker("w1")
         async with (
             Fleet({"web": [PlatformWorker("w0"), worker]}) as fleet,
@@ -82,17 +82,17 @@
                 await until(lambda: len(book) == 2)
                 assert (await fleet.ask("/search/2")).status == 200
 
-    play(story())
+    play(run())
 
 
 def test_keys_are_not_trusted_after_a_suspension_until_they_are_confirmed() -> None:
-    """Symptom: a router that was suspended runs a request under a key taken away meanwhile.
+    """Failure: a router that was suspended runs a request under a key that was revoked meanwhile.
 
-    Sequence: the instance is suspended for seconds; when it wakes up, the store cannot be asked.
-    Cause: the age of the confirmation was taken by a clock that stands still in a suspension.
+    The instance is suspended for seconds, and the store is unreachable when it resumes. The age of
+    the confirmation must be taken from a clock that includes the suspension.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         worker = PlatformWorker("e1", STREAM)
         async with Fleet({"pool": [worker], "web": [PlatformWorker("w1")]}) as fleet:
             clock = JumpingClock()
@@ -105,17 +105,17 @@
                 assert len(worker.arrived) == 1
                 assert (await fleet.ask("/page/1", at=router)).status == 200
 
-    play(story())
+    play(run())
 
 
-def test_a_late_removal_does_not_take_out_the_row_of_the_next_life() -> None:
-    """Symptom: a restarted router is not heard by the others, for good.
+def test_a_late_removal_does_not_delete_the_row_of_the_next_incarnation() -> None:
+    """Failure: the other routers never listen to a restarted router.
 
-    Sequence: a router leaves and removes its row; the answer is lost and the removal is done after
-    the restarted router has written its row. Cause: the removal named no version.
+    A router leaves and removes its row; the answer is lost, and the removal is done after the
+    restarted router has written its row. The removal must name the row's version.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             rows = fleet.store.rows
             async with fleet.router("router-2") as router:
@@ -130,31 +130,31 @@
                 await asyncio.sleep(0.7)
                 assert rows("routers").get("router-2") == second
 
-    play(story())
+    play(run())
 
 
 def test_a_router_whose_row_is_gone_writes_it_again() -> None:
-    """Symptom: routers that start later do not hear one that is there.
+    """Failure: routers that start later do not listen to a running one.
 
-    Sequence: its row is removed while it runs. Cause: the row was written at the start only.
+    Its row is removed while it runs. Writing the row only at the start is not enough.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             await until(lambda: fleet.gateway._feeds._own_version is not None)
             await fleet.store.remove("routers", "router-1")
             await until(lambda: "router-1" in fleet.store.rows("routers"))
 
-    play(story())
+    play(run())
 
 
-def test_a_write_whose_answer_was_lost_is_made_again() -> None:
-    """Symptom: a router starts and is never listed, or does not become ready.
+def test_a_write_whose_answer_was_lost_is_retried() -> None:
+    """Failure: a router starts and is never listed, or does not become ready.
 
-    Sequence: the answers to its first writes are lost. Cause: one try was all.
+    The answers to its first writes are lost, and the writes must be retried.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             fleet.store.losing_writes = True
             async with fleet.router("router-2") as router:
@@ -164,18 +164,18 @@
                 await until(lambda: "router-2" in fleet.store.rows("routers"))
                 assert (await fleet.ask("/draft/1", at=router)).status == 200
 
-    play(story())
+    play(run())
 
 
-def test_a_caller_that_leaves_early_is_told_of_in_the_log(
+def test_a_caller_that_leaves_early_is_logged(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    """Symptom: the log has a request placed and never ended.
+    """Failure: the log shows that a request was placed, but not how it ended.
 
-    Sequence: a caller closes its connection before its answer. Cause: nothing was logged of it.
+    The caller closes its connection before its answer; that must be logged.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         async with Fleet({"web": [PlatformWorker("w1", Script(silent=True))]}) as fleet:
             _, writer = await connect(fleet.gateway.callers)
             writer.write(fleet.request("/page/1"))
@@ -184,7 +184,7 @@
             writer.close()
             await until(lambda: state.records["w1"].outstanding == 0)
 
-    play(story())
+    play(run())
     lines = [json.loads(line) for line in capfd.readouterr().err.splitlines() if line[:1] == "{"]
     left = [line for line in lines if line["message"] == "request: abandoned"]
     assert len(left) == 1
@@ -192,14 +192,14 @@
     assert left[0]["reason"] == "after it was sent"
 
 
-def test_callers_beyond_a_routers_descriptors_are_turned_away_at_once() -> None:
-    """Symptom: requests that a router has read are never sent on, and it accepts nobody.
+def test_callers_above_the_descriptor_limit_are_rejected_at_once() -> None:
+    """Failure: requests that a router has read are never sent on, and it accepts no connections.
 
-    Sequence: callers open connections until no descriptor is left. Cause: nothing kept descriptors
-    for endpoints and the store.
+    Callers open connections until no file descriptor is left. Some must be reserved for endpoints
+    and the store.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         worker = PlatformWorker("w1")
         async with (
             Fleet({"web": [worker]}) as fleet,
@@ -219,19 +219,19 @@
             await until(lambda: not router._connections)
             assert (await fleet.ask("/page/2", at=router)).status == 200
 
-    play(story())
+    play(run())
 
 
-def test_settings_that_cannot_be_used_change_nothing_and_later_ones_take_hold(
+def test_invalid_settings_are_ignored_and_later_ones_are_applied(
     tmp_path: Path,
 ) -> None:
-    """Symptom: a changed settings file is never taken in.
+    """Failure: a changed settings file is never applied.
 
-    Sequence: the file changes without a signal and is looked at half written; it is completed
-    later. Cause: the error of the first reading ended the task that looks at the file.
+    The file changes without a signal and is read when half written; it is completed later. The
+    error of the first read must not end the task that polls the file.
     """
 
-    async def story() -> None:
+    async def run() -> None:
         path = tmp_path / "settings"
         path.write_text("first")
         async with Fleet({"web": [PlatformWorker("w1")]}) as fleet:
@@ -259,4 +259,4 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(main, "SETTINGS_CHECK_S", 0.02)
-        play(story())
+        play(run())
--- a/tests/test_requests_that_end_endpoints.py
+++ b/tests/test_requests_that_end_endpoints.py
@@ -1,19 +1,13 @@
-"""Requests that end whoever runs them: counted over all routers, and quarantined.
+"""Tests the quarantine of requests that crash the endpoints they run on, over all routers.
 
-Symptom: for seconds at a time up to eight of nine engines are away; streams break off in the middle
-and requests are refused or answered 502, again and again over a day.
+Without it up to eight of nine engines are down for seconds at a time, and streams are cut and
+requests refused or answered 502 over a whole day.
 
-Sequence: a request ends the engine that begins to run it, and with it all that runs there. Its
-router sends it on, to the next engine, which ends as well. The caller gets a 502 and repeats it
-under another id, at another router, which has never heard of it. Engines are back after some
-seconds, as other lives, and are ended again.
-
-Cause: nobody remembers under which requests an endpoint has ended, and an id names one attempt
-only.
-
-Evidence: in the logs of a recorded day the same fingerprint stands at the end of one engine after
-the other, within a tenth of a second after it began to run; with two engines or more lost by each
-attempt, 17 and 14 ended under two requests.
+A request crashes the engine that begins to run it, within a tenth of a second, and everything that
+runs there. Its router retries it at the next engine, which crashes as well. The caller gets a 502
+and repeats the request under another id at another router, which does not know it. The engines are
+back after some seconds, as new incarnations, and crash again. An id names one attempt only, so that
+requests must be recognized by their fingerprint.
 """
 
 from __future__ import annotations
@@ -33,19 +27,19 @@
 from tamarack_standins.platform_worker import PlatformWorker, Script
 
 CONTACT_S = 1.0
-"""Seconds after the third end from which on arrivals count; the users' bound is 3."""
+"""Seconds after the third crash from which on arrivals count; the required bound is 3."""
 
-LATE_MOST = 3
-"""Arrivals later than that that are allowed, over all routers."""
+MAX_LATE = 3
+"""Allowed arrivals after that time, over all routers."""
 
 FATAL = b"ends whoever runs it"
 
 
 async def repeat(fleet: Fleet, body: bytes, seconds: float, *, path: str = "/draft/x") -> None:
-    """Send one request again and again, under new ids, at the routers in turn."""
+    """Send one request again and again with new ids, to the routers in turn."""
     routers = [fleet.gateway, *fleet.others]
-    ends_s, number = time.monotonic() + seconds, 0
-    while time.monotonic() < ends_s:
+    until_s, number = time.monotonic() + seconds, 0
+    while time.monotonic() < until_s:
         number += 1
         answer = await fleet.try_ask(path, at=routers[number % len(routers)], body=body)
         assert answer is None or answer.status != 200
@@ -53,13 +47,13 @@
 
 
 @pytest.mark.parametrize("path", ["/draft/x", "/rewrite/x"])
-def test_a_request_that_ends_endpoints_is_held_back_by_all_routers(path: str) -> None:
+def test_a_request_that_crashes_endpoints_is_quarantined_by_all_routers(path: str) -> None:
     async def run() -> None:
         async with CrashingPool(4, FATAL) as pool, Fleet({"pool": pool.engines}) as fleet:
             pool.serve(fleet)
             await fleet.add_routers(2)
             await repeat(fleet, FATAL, 4.0, path=path)
-            assert pool.late(FATAL, CONTACT_S) <= LATE_MOST
+            assert pool.late(FATAL, CONTACT_S) <= MAX_LATE
             answer: Answer = await fleet.ask("/draft/y", body=b"another one")
             assert answer.status == 200
 
@@ -78,7 +72,7 @@
         await asyncio.sleep(0.05)
 
 
-def test_a_request_that_is_held_back_is_refused_at_once_as_not_run() -> None:
+def test_a_quarantined_request_is_refused_at_once_as_not_run() -> None:
     async def run() -> None:
         async with CrashingPool(4, FATAL) as pool, Fleet({"pool": pool.engines}) as fleet:
             pool.serve(fleet)
@@ -93,11 +87,11 @@
     play(run())
 
 
-def test_others_are_served_while_one_ends_endpoints() -> None:
-    """Symptom: a request that was only there when an endpoint ended is refused for minutes.
+def test_others_are_served_while_one_crashes_endpoints() -> None:
+    """Failure: a request that only ran on crashing endpoints is refused for minutes.
 
-    Sequence: one request ends endpoints, others run beside it and are cut; their callers repeat
-    them. Cause: whoever met three ends is taken for the cause of them.
+    One request crashes endpoints; others that run there are cut, and their callers retry them.
+    Three crashes under a request must not be enough to make it the culprit.
     """
 
     async def ask(fleet: Fleet, number: int) -> int:
@@ -129,11 +123,11 @@
     play(run())
 
 
-def test_routers_that_start_later_know_what_is_held_back() -> None:
-    """Symptom: after all routers were replaced, a known request ends endpoints anew.
+def test_routers_that_start_later_know_the_quarantine() -> None:
+    """Failure: after all routers were replaced, a quarantined request crashes endpoints again.
 
-    Sequence: it is quarantined, its row is written, all routers are replaced. Cause: a router took
-    callers before it had read which requests are quarantined.
+    Its row is in the store, but a new router accepts callers before it has read which requests are
+    quarantined.
     """
 
     async def run() -> None:
@@ -149,13 +143,12 @@
     play(run())
 
 
-def test_what_a_leaving_router_sees_reaches_the_others() -> None:
-    """Symptom: while routers are replaced in turn, innocent requests are quarantined.
+def test_crashes_seen_by_a_leaving_router_reach_the_others() -> None:
+    """Failure: unrelated requests are quarantined while routers are replaced in turn.
 
-    Sequence: a router that was asked to stop takes itself out of the list and goes on serving for
-    its grace time; endpoints end while it does. Cause: nobody listened to it any more. Evidence: a
-    soak's logs with a verdict on an innocent request by one router, at an end at which another one,
-    which was leaving, had the fatal request.
+    A router that was asked to stop removes itself from the list and serves for its grace time. If
+    the others no longer listen to it, they miss the crashes that it detects, and another router
+    confirms an unrelated request at a crash under which the leaving router had the culprit.
     """
 
     async def run() -> None:
@@ -176,9 +169,10 @@
 
 
 def test_others_learn_of_a_request_while_the_store_is_down() -> None:
-    """Symptom: while the store is down, a request ends endpoints by one router after the other.
+    """Failure: while the store is down, a request crashes endpoints via one router after another.
 
-    Cause: a verdict reached others by the store only. It is written once the store is back.
+    A quarantine decision must not reach the others through the store only. It is written once the
+    store is back.
     """
 
     async def run() -> None:
@@ -198,7 +192,7 @@
     play(run())
 
 
-def test_a_plain_request_that_ends_endpoints_is_held_back() -> None:
+def test_a_plain_request_that_crashes_endpoints_is_quarantined() -> None:
     async def run() -> None:
         async with (
             CrashingPool(3, FATAL, service="web", script=Script()) as pool,
@@ -206,17 +200,17 @@
         ):
             pool.serve(fleet)
             await repeat(fleet, FATAL, 3.0, path="/search/x")
-            assert pool.late(FATAL, CONTACT_S) <= LATE_MOST
+            assert pool.late(FATAL, CONTACT_S) <= MAX_LATE
             assert (await fleet.ask("/search/x", body=b"another one")).status == 200
 
     play(run())
 
 
-def test_an_answer_that_comes_after_the_verdict_releases_it_everywhere() -> None:
-    """Symptom: a request that was answered is quarantined again with the next router's start.
+def test_a_complete_answer_releases_a_quarantined_request_everywhere() -> None:
+    """Failure: a request that was answered is quarantined again when the next router starts.
 
-    Sequence: it is wrongly quarantined while it runs; it is answered whole, at a router whose turn
-    it is not to write its row. Cause: only that other router took rows out of the store.
+    It is wrongly quarantined while it runs, and is answered completely at a router that is not the
+    one to write its row. That router must remove the row from the store as well.
     """
 
     async def run() -> None:
@@ -238,7 +232,9 @@
     play(run())
 
 
-def test_operators_list_and_release_held_requests(capsys: pytest.CaptureFixture[str]) -> None:
+def test_operators_list_and_release_quarantined_requests(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     async def run() -> None:
         async with CrashingPool(4, FATAL) as pool, Fleet({"pool": pool.engines}) as fleet:
             pool.serve(fleet)
@@ -255,18 +251,18 @@
             await until(lambda: not any(quarantined(router) for router in routers))
             assert fleet.store.rows("quarantine") == {}
             assert main(["release", "127.0.0.1:9", name]) == 3
-            told = capsys.readouterr().out
-            assert name in told
-            assert KEY not in told
-            assert FATAL.decode() not in told
+            printed = capsys.readouterr().out
+            assert name in printed
+            assert KEY not in printed
+            assert FATAL.decode() not in printed
 
     play(run())
 
 
-def test_a_release_that_the_store_does_not_take_is_told(
+def test_a_release_that_the_store_does_not_record_is_reported(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Symptom: a released request is quarantined again. Cause: its row was still in the store."""
+    """Failure: a released request is quarantined again, because its row was still in the store."""
 
     async def run() -> None:
         async with CrashingPool(4, FATAL) as pool, Fleet({"pool": pool.engines}) as fleet:
@@ -283,7 +279,7 @@
     assert "try again" in capsys.readouterr().out
 
 
-def test_counters_tell_of_held_requests() -> None:
+def test_metrics_and_status_show_quarantined_requests() -> None:
     async def run() -> None:
         async with CrashingPool(4, FATAL) as pool, Fleet({"pool": pool.engines}) as fleet:
             pool.serve(fleet)
@@ -301,7 +297,7 @@
     play(run())
 
 
-def test_a_row_that_cannot_be_read_holds_nothing_back() -> None:
+def test_an_unreadable_row_quarantines_nothing() -> None:
     async def run() -> None:
         engine = PlatformWorker("e1", Script(events=3))
         async with Fleet({"pool": [engine]}) as fleet:
