--- a/packages/gateway/src/tamarack_gateway/caller_crowd.py
+++ b/packages/gateway/src/tamarack_gateway/caller_crowd.py
@@ -19,8 +19,9 @@
 connect any more."""
 
 EVICTION_BATCH = 32
-"""Idle connections that are closed together to make room, about as many as are accepted in one
-event-loop iteration: finding them among thousands takes a millisecond."""
+"""Idle connections that are closed together to make room: finding them among thousands takes a
+millisecond, so that one search serves several of the connections accepted in one event-loop
+iteration."""
 
 MIN_IDLE_MS = 250.0
 """A connection is not closed to make room for this long after its last answer: a caller that sends
--- a/packages/gateway/src/tamarack_gateway/end_witness.py
+++ b/packages/gateway/src/tamarack_gateway/end_witness.py
@@ -57,7 +57,21 @@
 
 
 class _Check:
-    """The check of one incarnation of an endpoint after an answer broke off."""
+    """The check of one incarnation of an endpoint after an answer broke off.
+
+    Attributes
+    ----------
+    first_ms
+        Time of the first broken answer.
+    lost
+        Answers of the incarnation that broke off.
+    together
+        Whether other endpoints terminated at the same time, as in an instance failure.
+    refused
+        Whether the endpoint's address refused a connection.
+    delisted
+        Whether the endpoint's entry was removed from the list.
+    """
 
     def __init__(self, endpoint: Endpoint, first_ms: float) -> None:
         self.endpoint = endpoint
@@ -111,7 +125,15 @@
         state.on_life_over = self._incarnation_over
 
     async def lost(self, endpoint: Endpoint, aboard: Aboard, sent_ms: float) -> bool:
-        """Record that an answer broke off; returns whether its endpoint has terminated."""
+        """Record that an answer broke off; returns whether its endpoint has terminated.
+
+        Parameters
+        ----------
+        aboard
+            The request whose answer broke off.
+        sent_ms
+            Time at which the request was sent to the endpoint.
+        """
         now_ms = self._state.clock.now_ms
         check = self._checks.get(endpoint.key)
         known_ms = self._state.ended_ms(endpoint.key)
--- a/packages/gateway/src/tamarack_gateway/loop_watch.py
+++ b/packages/gateway/src/tamarack_gateway/loop_watch.py
@@ -17,9 +17,9 @@
 from tamarack_gateway.decision_log import DecisionLog
 
 IDLE_SAMPLE_MS = 250.0
-"""Time between two samples while no caller is connected: there are no requests to reject, and
-frequent wake-ups of idle routers add up on one instance: 195 of them woke up 100 times a second
-each even with four samples a second."""
+"""Time between two samples while no caller is connected: there are no requests to reject, and idle
+routers wake up often enough for other reasons: each of 195 routers 100 times a second, even with
+four samples a second."""
 
 
 class LoopStatus(TypedDict):
--- a/packages/gateway/src/tamarack_gateway/send_notes.py
+++ b/packages/gateway/src/tamarack_gateway/send_notes.py
@@ -14,10 +14,10 @@
 from tamarack_gateway.send_result import Result, Verdict
 
 REJECTED_WEIGHT = 0.5
-"""Weight of a rejection as a failure: the endpoint is full, and answered at once."""
+"""Weight of a rejection, half of a failure: the endpoint is full, and answered at once."""
 
 UNREACHED_WEIGHT = 3.0
-"""Weight of a failed connection: the next request would time out as well."""
+"""Weight of a failed connection attempt: the next request would wait for a connection in vain."""
 
 CALLER_ERROR_STATUSES = (400, 404, 504)
 """Statuses that concern the request or its deadline, and do not count as endpoint failures."""
