--- a/packages/core/src/tamarack_core/admission.py
+++ b/packages/core/src/tamarack_core/admission.py
@@ -1,8 +1,8 @@
-"""Whether a generation is sent on now, held back by the router or refused.
+"""Admission control: send a generation to its engine now, queue it at the router or refuse it.
 
-Engines serve in order of arrival: whatever is sent is ahead of all that comes later, however urgent
-that is. What may wait is therefore held back here, and an engine's queue is kept as short as the
-most urgent of its routes needs it.
+Engines serve requests in order of arrival, so a request that was sent delays every later one,
+whatever its latency target. Requests that can wait are therefore queued at the router, and the
+queue of an engine stays as short as the route with the shortest latency target needs it.
 """
 
 from __future__ import annotations
@@ -11,73 +11,79 @@
 from typing import NamedTuple
 
 WITHIN_SHARE = 0.85
-"""Part of the aim that a workspace within its share may be predicted to wait. Work that queues
-past its aim is worth little and delays all behind it; the rest is for what the prediction leaves
-out."""
+"""Longest predicted queueing delay of a workspace within its share, as a fraction of the latency
+target. A request that misses its target is worth little and delays those behind it; the remaining
+fraction covers what the prediction leaves out."""
 
 IDLE_MS = 20.0
-"""Predicted wait in milliseconds up to which an engine counts as free: the first steps of an
-answer and the way, and hardly any work of others. A free engine takes work from beyond its
-workspace's share, so that nothing is left unused. The bound falls with the lead, since among many
-engines one is free at any time, and whoever asks most meets it most often."""
+"""Predicted queueing delay in milliseconds up to which an engine counts as idle: the first decoding
+steps, the network delay and hardly any work of others. An idle engine also takes work beyond the
+workspace's share, so that no capacity is left unused. The bound falls with the lead: among many
+engines one is idle at any time, and the workspace that sends most requests finds it most often."""
 
 LEAD_POWER = 6.0
-"""How fast the bound falls with the lead over the backlogged workspace that has had least: steep,
-so that the one with least is let in first as soon as it is behind."""
+"""Exponent by which the bound falls with the lead, the service relative to the least-served
+backlogged workspace. It is steep, so that the least-served one is admitted first as soon as it is
+behind."""
 
 STANDING_POWER = 2.0
-"""How fast the bound falls beyond the share. With a power of one, a workspace that has five times
-its share keeps one that has three from the half of it that is owed to it."""
+"""Exponent by which the bound falls with the standing, the service received relative to the fair
+share. With an exponent of one, a workspace at five times its share keeps another at three times
+from the half of that service which it is owed."""
 
 STANDING_MOST = 3.0
-"""Standing beyond which the bound falls no further; from there on it is the lead that counts.
-Engines that find prompts kept serve several times the throughput that shares are counted by. All
-who ask for much are then far beyond their shares, and without this all are held to one bound, the
-one with least like the one with most."""
+"""Standing beyond which the bound falls no further; above it only the lead distinguishes
+workspaces. With prefix cache hits, engines serve several times the throughput that shares are
+computed from. Every workspace with high demand is then far beyond its share, and without this cap
+all get the same lowest bound, the least-served one and the most-served one alike."""
 
 STANDING_BEHIND = 2.0
-"""What it is less for a workspace that has had less than an even part of what is really served, in
-proportion, down to this. With one bound for all far beyond their shares, one that asks for less
-than such a part is refused as often as those that ask for all they can get."""
+"""Lowest value of that cap, for a workspace that received less than an equal share of the actual
+throughput; the cap falls in proportion to `filled`. With one cap for all workspaces far beyond
+their shares, one that asks for less than an equal share is refused as often as those with unlimited
+demand."""
 
 FREE_PART_EASES = 0.4
-"""Part of the engines that have nothing to do from which on it no longer counts how far a workspace
-is beyond its share: nobody waits for what it is then refused. Below it counts in proportion, so
-that queues shorten as engines fill. With a small part, one free engine of six would ease all, and
-each reading anew there would take it from requests that find their parts kept."""
+"""Fraction of idle engines from which on a workspace's excess over its share is ignored, since
+refusing it would help nobody. Below this fraction the excess counts in proportion, so that queues
+shorten as engines fill up. With a small fraction, one idle engine of six would relax the limit for
+all, and every prompt recomputed there would take the engine from requests with cached prefixes."""
 
 RETURNED = 1.05
-"""Part of the aim that a request may be predicted to wait that has been refused before and came
-back as it was told: it goes before new work of equal standing."""
+"""Longest predicted queueing delay of a retried request, as a fraction of the latency target. A
+caller that was refused and came back after the requested delay has priority over new requests of
+equal standing."""
 
 RETRY_MIN_MS = 150.0
-"""Shortest time in milliseconds after which a refused caller should come back: soon enough to be
-served within most aims."""
+"""Shortest retry delay in milliseconds for a refused caller: short enough to still meet most
+latency targets."""
 
 RETRY_SPREAD = 0.5
-"""Part by which returns are spread, so that those refused together do not return together."""
+"""Largest random addition to the retry delay, as a fraction of it, so that requests refused at the
+same time are not retried at the same time."""
 
 
 YIELD = 1.0
-"""How fast the bound falls with the aim: a route with twice the aim of the most urgent one may find
-half its queue. With bounds that rise with the aims, queues grow as long as the most patient route
-bears, and the most urgent one is refused most; with a higher power the most patient one is."""
+"""Exponent by which the bound falls as the latency target grows: a route with twice the shortest
+target may find half the queue. If bounds rose with the targets, queues would grow as long as the
+route with the longest target tolerates, and the one with the shortest would be refused most; with a
+higher exponent the route with the longest target is refused most."""
 
 HOLD_PART = 0.5
-"""Part of its aim that a request is held back at the most; it is refused at once if the queue will
-not have shrunk by then."""
+"""Longest time that a request is queued at the router, as a fraction of its latency target; it is
+refused at once if the engine's queue will not have shrunk by then."""
 
 HOLD_MIN_MS = 15.0
-"""Shortest time until a request that is held back is looked at again; a timer costs about as much
-as a message between routers."""
+"""Shortest time in milliseconds until a request queued at the router is evaluated again; a timer
+costs about as much as a message between routers."""
 
 
 FREE_ENGINE = "an engine is free"
-"""Reason of what only the least bound lets in; in logs and metrics."""
+"""Reason, in logs and metrics, of a request that is admitted only by the bound for idle engines."""
 
 
 class Admission(Enum):
-    """What becomes of a request; the value names it in logs."""
+    """Outcome of admission control; the value is its name in logs."""
 
     ADMITTED = "admitted"
     HELD = "held"
@@ -85,15 +91,15 @@
 
 
 class Decision(NamedTuple):
-    """What becomes of a request, and why.
+    """Outcome of admission control for one request, and the reason.
 
     Attributes
     ----------
     wait_ms
-        Milliseconds after which a held request is looked at again, or a refused caller should come
-        back.
+        Milliseconds until a held request is evaluated again, or until a refused caller should
+        retry.
     queue_ms, bound_ms
-        Predicted wait behind the work of others, and the longest that it might have been.
+        Predicted queueing delay behind other requests, and the longest one that is admitted.
     """
 
     verdict: Admission
@@ -104,7 +110,7 @@
 
 
 def eased_standing(standing: float, free_part: float) -> float:
-    """How far beyond its share a workspace counts, with a part of the engines free."""
+    """Reduce the excess over the fair share in proportion to the fraction of idle engines."""
     if standing <= 1.0:
         return standing
     return 1.0 + (standing - 1.0) * max(0.0, 1.0 - free_part / FREE_PART_EASES)
@@ -124,49 +130,49 @@
     draw: float,
     filled: float = 1.0,
 ) -> Decision:
-    """Decide on a request.
+    """Admit, hold or refuse a request.
 
     Parameters
     ----------
     first_token_ms
-        Predicted time to the first token at the engine chosen.
+        Predicted time to the first token at the chosen engine.
     unavoidable_ms
-        The part of it that the request's own prompt takes: a long prompt that nobody keeps waits
-        on itself, and is not refused for that.
+        The part of it that the request's own prompt takes: a long uncached prompt is not refused
+        for its own prefill time.
     aim_ms, waited_ms, left_ms
-        Its aim, the time it has waited already and the time until its deadline.
+        Latency target, time already waited and time until the deadline.
     shortest_aim_ms
-        The shortest aim of all routes to the same engines.
+        The shortest latency target of all routes to the same engines.
     standing
-        How many times its share its workspace has been served lately. With one bound for all, the
-        queues fill with the work of whoever asks most, and a workspace that asks for little more
-        than its share is refused as often: it got a third of what it asked beside one that got
-        four times as much.
+        Service that the workspace received in the window, relative to its fair share. With one
+        bound for all, the queues fill with requests of the workspace with the highest demand, and
+        one that asks for little more than its share is refused as often: it got a third of its
+        demand beside one that got four times as much.
     lead
-        How many times as much it was served as the backlogged workspace with least.
+        Its service relative to the least-served backlogged workspace.
     returned
-        Whether the request was refused before and came back.
+        Whether the request is a retry after a refusal.
     draw
-        A number from 0 up to 1 that spreads returns.
+        A random number in [0, 1) that spreads retries.
     filled
-        How many times an even part of what is really served it was served.
+        Its service relative to an equal share of the actual throughput.
     """
-    within = RETURNED if returned else WITHIN_SHARE
-    most = max(STANDING_BEHIND, STANDING_MOST * min(1.0, filled))
-    beyond = max(1.0, min(standing, most))
-    part = within / (beyond**STANDING_POWER * max(1.0, lead) ** LEAD_POWER)
-    yielding_ms = shortest_aim_ms * (shortest_aim_ms / aim_ms) ** YIELD
-    timely_ms = min(part * aim_ms - waited_ms, part * yielding_ms)
-    bound_ms = max(IDLE_MS / max(1.0, lead), timely_ms)
+    target_fraction = RETURNED if returned else WITHIN_SHARE
+    standing_cap = max(STANDING_BEHIND, STANDING_MOST * min(1.0, filled))
+    excess = max(1.0, min(standing, standing_cap))
+    part = target_fraction / (excess**STANDING_POWER * max(1.0, lead) ** LEAD_POWER)
+    shared_queue_ms = shortest_aim_ms * (shortest_aim_ms / aim_ms) ** YIELD
+    target_bound_ms = min(part * aim_ms - waited_ms, part * shared_queue_ms)
+    bound_ms = max(IDLE_MS / max(1.0, lead), target_bound_ms)
     queue_ms = max(0.0, first_token_ms - unavoidable_ms)
     if queue_ms <= bound_ms and first_token_ms < left_ms:
-        reason = "in time" if queue_ms <= timely_ms else FREE_ENGINE
+        reason = "in time" if queue_ms <= target_bound_ms else FREE_ENGINE
         return Decision(Admission.ADMITTED, reason, 0.0, queue_ms, bound_ms)
     over_ms = queue_ms - bound_ms
     if standing <= 1.0 and over_ms <= HOLD_PART * aim_ms - waited_ms and first_token_ms < left_ms:
-        held_ms = max(HOLD_MIN_MS, over_ms)
-        return Decision(Admission.HELD, "the queue will shrink", held_ms, queue_ms, bound_ms)
+        hold_ms = max(HOLD_MIN_MS, over_ms)
+        return Decision(Admission.HELD, "the queue will shrink", hold_ms, queue_ms, bound_ms)
     reason = "beyond its share" if standing > 1.0 else "would wait too long"
     excess_ms = max(RETRY_MIN_MS, queue_ms - 0.5 * bound_ms)
-    back_ms = excess_ms * (1.0 + RETRY_SPREAD * draw)
-    return Decision(Admission.REFUSED, reason, back_ms, queue_ms, bound_ms)
+    retry_ms = excess_ms * (1.0 + RETRY_SPREAD * draw)
+    return Decision(Admission.REFUSED, reason, retry_ms, queue_ms, bound_ms)
--- a/packages/core/src/tamarack_core/admitted_placement.py
+++ b/packages/core/src/tamarack_core/admitted_placement.py
@@ -1,4 +1,4 @@
-"""An engine for a generation, and whether the generation is sent there now."""
+"""Placement of a generation on an engine, combined with admission control."""
 
 from __future__ import annotations
 
@@ -19,25 +19,26 @@
 from tamarack_core.prompt import Prompt
 from tamarack_core.workspace_shares import Position
 
-SPREAD_READS = 2.0
-"""Most times as much as its keeper has to read of a prompt that a free engine may read of it: again
-no more than anew. Each reading takes the engine from requests that find their parts there; without
-a bound, prompts with much that is kept and little of their own are read anew all the time."""
+SPREAD_PREFILL_FACTOR = 2.0
+"""Longest prefill at an idle engine, as a multiple of the tokens that are not cached at the engine
+with the lowest cost: it may recompute no more than it computes for the first time. Each prefill
+takes the idle engine from requests whose prefixes it caches; without a bound, prompts with a long
+cached prefix and a short uncached rest would be recomputed all the time."""
 
 
 class Terms(NamedTuple):
-    """What a request may be made to wait, and what it has waited.
+    """Latency requirements of a request, and the time it has waited.
 
     Attributes
     ----------
     aim_ms, waited_ms, left_ms
-        Its aim, the time it has waited already and the time until its deadline.
+        Latency target, time already waited and time until the deadline.
     shortest_aim_ms
-        The shortest aim of all routes to the same engines.
+        The shortest latency target of all routes to the same engines.
     returned
-        Whether it was refused before and came back.
+        Whether it is a retry after a refusal.
     draw
-        A number from 0 up to 1 that spreads returns.
+        A random number in [0, 1) that spreads retries.
     """
 
     aim_ms: float
@@ -49,9 +50,9 @@
 
 
 class AdmittedPlacement(NamedTuple):
-    """The engine that suits a request best, and what becomes of the request there.
+    """The engine chosen for a request, and the admission decision there.
 
-    `position` is the workspace's, as the decision was taken by it.
+    `position` is the position of the workspace on which the decision is based.
     """
 
     choice: Choice
@@ -60,7 +61,7 @@
 
 
 class Engines(NamedTuple):
-    """Engines that a request may go to, with what the router believes of each by name."""
+    """Engines that a request may go to, with the router's local state of each by name."""
 
     endpoints: Sequence[Endpoint]
     models: Mapping[str, EngineModel]
@@ -70,32 +71,32 @@
 def place_admitted(
     prompt: Prompt, engines: Engines, position: Position, terms: Terms, now_ms: float
 ) -> AdmittedPlacement | None:
-    """Pick an engine and decide on sending the request there; None without engines.
+    """Choose an engine and decide on admission there; None without engines.
 
-    The engine that costs least is mostly one that keeps the prompt's parts. Where its queue is too
-    long and engines stand free, one of these reads the prompt anew.
+    The engine with the lowest cost is usually one that caches the prompt's prefix blocks. If its
+    queue is too long and other engines are idle, one of them prefills the prompt again.
     """
     choice = choose_engine(prompt, engines.endpoints, engines.models, engines.records, now_ms)
     if choice is None:
         return None
     eased = position
     if position.standing > 1.0:
-        free_part = _free_part(engines, now_ms)
-        eased = position._replace(standing=eased_standing(position.standing, free_part))
+        free_fraction = _free_fraction(engines, now_ms)
+        eased = position._replace(standing=eased_standing(position.standing, free_fraction))
     decision = _decide(choice, prompt, engines, eased, terms, now_ms)
-    worth_reading = prompt.tokens_in <= SPREAD_READS * choice.unread_tokens
+    worth_reading = prompt.tokens_in <= SPREAD_PREFILL_FACTOR * choice.unread_tokens
     if decision.verdict is not Admission.ADMITTED and eased.standing <= 1.0 and worth_reading:
-        further = [endpoint for endpoint in engines.endpoints if endpoint is not choice.endpoint]
-        spread = _spread(prompt, engines._replace(endpoints=further), eased, terms, now_ms)
-        if spread is not None:
-            return spread._replace(position=position)
+        others = [endpoint for endpoint in engines.endpoints if endpoint is not choice.endpoint]
+        on_idle = _place_on_idle(prompt, engines._replace(endpoints=others), eased, terms, now_ms)
+        if on_idle is not None:
+            return on_idle._replace(position=position)
     return AdmittedPlacement(choice, decision, position)
 
 
-def _spread(
+def _place_on_idle(
     prompt: Prompt, engines: Engines, position: Position, terms: Terms, now_ms: float
 ) -> AdmittedPlacement | None:
-    """A free engine that reads the prompt anew and serves it in its aim; None if there is none."""
+    """Place on an idle engine that meets the latency target despite the prefill; None without."""
     free = choose_free(prompt, engines.endpoints, engines.models, engines.records, now_ms)
     if free is None or free.first_token_ms > WITHIN_SHARE * terms.aim_ms - terms.waited_ms:
         return None
@@ -103,7 +104,7 @@
     return AdmittedPlacement(free, decision) if decision.verdict is Admission.ADMITTED else None
 
 
-def _free_part(engines: Engines, now_ms: float) -> float:
+def _free_fraction(engines: Engines, now_ms: float) -> float:
     models = engines.models
     free = sum(models[endpoint.name].wait_ms(now_ms) <= FREE_MS for endpoint in engines.endpoints)
     return free / len(engines.endpoints)
--- a/packages/core/src/tamarack_core/end_evidence.py
+++ b/packages/core/src/tamarack_core/end_evidence.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of endpoints that ended, and of the requests that ran there."""
+"""Reports between routers about endpoints that terminated, and the requests that ran there."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class Aboard(NamedTuple):
-    """A request that an endpoint had when it ended.
+    """A request that was in progress at an endpoint when it terminated.
 
     Attributes
     ----------
     early
-        Whether it had not begun to answer, or only just. What ends an endpoint mostly does so as
-        it begins to run; a request that has run for long is the less likely cause.
+        Whether its answer had not begun, or only just. A request that crashes an endpoint mostly
+        does so at its start; one that has run for long is a less likely culprit.
     """
 
     fingerprint: str
@@ -23,16 +23,18 @@
 
 
 class End(NamedTuple):
-    """One life of an endpoint that ended, as one router saw it.
+    """Termination of one incarnation of an endpoint, as detected by one router.
 
     Attributes
     ----------
     together
-        Whether another endpoint ended at the same moment, as in a failure of machines: no single
-        request ends two.
+        Whether another endpoint terminated at the same time, as in a failure of instances: no
+        single request crashes two endpoints.
+    aboard
+        Requests in progress there.
     refused
-        Whether nobody listens at its address any more. Other proofs speak of what it ran, and leave
-        open whether it could take work.
+        Whether its address refuses connections. Other evidence concerns only the requests in
+        progress, and does not show whether the endpoint can take new ones.
     """
 
     endpoint: str
@@ -43,17 +45,17 @@
 
     @property
     def key(self) -> EndpointLife:
-        """The life that ended."""
+        """The incarnation that terminated."""
         return EndpointLife(self.endpoint, self.life)
 
 
 class QuarantinedRequest(NamedTuple):
-    """A request that is quarantined.
+    """A quarantined request.
 
     Attributes
     ----------
     trials
-        How often it was tried again since, and ended another endpoint.
+        Number of trials since then in which it crashed another endpoint.
     """
 
     fingerprint: str
@@ -62,12 +64,12 @@
 
 
 class Evidence(NamedTuple):
-    """What a router has learned since it last told the others.
+    """Evidence that a router gathered since its last report to the others.
 
     Attributes
     ----------
     cleared
-        Suspected requests that were answered whole, by their fingerprints.
+        Fingerprints of suspects that were answered completely.
     """
 
     ends: list[End] = []
--- a/packages/core/src/tamarack_core/engine_model.py
+++ b/packages/core/src/tamarack_core/engine_model.py
@@ -1,9 +1,9 @@
-"""What a router believes of one model engine: how long its queue is and what it keeps.
+"""Model of one engine in a router's local state: its queueing delay and its prefix cache.
 
-Engines read prompts in order of arrival, so the time until a new request's first token follows
-from the prompt tokens that were sent there before and are not read yet. Reports of engines are
-older than that queue is long; the model is therefore driven by what routers send, and set right
-by each first event that comes back.
+Engines prefill prompts in order of arrival, so the time to a new request's first token follows from
+the prompt tokens that were sent before it and are not prefilled yet. Reports from engines are older
+than that queue is long; the model is therefore updated from the requests that routers send, and
+corrected by each first event that comes back.
 """
 
 from __future__ import annotations
@@ -14,53 +14,56 @@
 from tamarack_core.prompt import Prompt, PromptPart
 
 PROMPT_TOKENS_PER_MS = 50.0
-"""First guess of prompt tokens read in a millisecond, on the cautious side; each engine's own pace
-is learned from its first events."""
+"""Initial estimate of prefilled tokens per millisecond, deliberately low; the speed factor of each
+engine is learned from its first events."""
 
 PAIR_MS_PER_MILLION = 0.37
-"""Milliseconds for a million pairs of a new token and one before it."""
+"""Attention cost of prefill: milliseconds per million pairs of a new token and an earlier one."""
 
 PACE_GAIN = 0.15
-"""Weight of one observation in the learned pace: some ten first events set it."""
+"""Weight of one observation in the learned speed factor, which converges within some ten first
+events."""
 
 PACE_MIN, PACE_MAX = 0.4, 8.0
-"""Bounds of the learned pace, as times of the first guess."""
+"""Bounds of the speed factor: observed time as a multiple of the predicted time."""
 
 SEEN_GAIN = 0.5
-"""Weight of a queue that another router saw. What it tells is some 80 ms old and leaves out what
-was sent meanwhile, so it corrects the own sum and does not replace it."""
+"""Weight of a queueing delay that another router reports. The report is some 80 ms old and lacks
+the requests sent since, so it corrects the local sum and does not replace it."""
 
 SHORT_MS = 25.0
-"""Reading time up to which a first event tells how long a first token takes by itself."""
+"""Prefill time in milliseconds up to which a first event is a sample of the time to a first token
+beyond prefill."""
 
-PACE_MEASURED_MS = 40.0
-"""Predictions below this say more about the way than about the engine's pace."""
+MIN_PREDICTED_MS = 40.0
+"""Shortest prediction in milliseconds that updates the speed factor; in shorter ones the network
+delay dominates."""
 
 PACE_HALF_LIFE_MS = 4_000.0
-"""Time after which a learned slowness counts half, so that a slow engine is tried again."""
+"""Half-life in milliseconds of a learned slowdown, so that a slow engine is tried again."""
 
 PART_TOLD_TOKENS = 256
-"""Prompt parts smaller than this are not told to other routers: reading them again costs a few
+"""Smallest prefix block that is reported to other routers; a smaller one is recomputed in a few
 milliseconds."""
 
-PART_TOLD_MS = 3_000.0
-"""Milliseconds after which a part that is used again is told again, so that others do not take it
-for one that yielded; telling all parts after each placement would double what goes between failure
-domains."""
+PART_REPORT_INTERVAL_MS = 3_000.0
+"""Milliseconds after which a block that is used again is reported again, so that other routers do
+not treat it as evicted; reporting all blocks after each placement would double the traffic between
+failure domains."""
 
-KEPT_PART_OF_MEMORY = 0.6
-"""Part of an engine's memory that the model takes for kept prompt parts; running requests have
-the rest."""
+CACHE_FRACTION_OF_MEMORY = 0.6
+"""Fraction of an engine's KV memory that the model assumes for cached prefix blocks; running
+requests use the rest."""
 
 
 def reading_ms_of(prompt: Prompt, unread: int) -> float:
-    """Time to read the last `unread` tokens of a prompt, at the pace of a sound engine."""
+    """Time in milliseconds to prefill the last `unread` tokens of a prompt, at speed factor one."""
     pairs = unread * (prompt.tokens_in - unread / 2)
     return unread / PROMPT_TOKENS_PER_MS + pairs / 1e6 * PAIR_MS_PER_MILLION
 
 
 class _Sent:
-    """A request that has no first event yet."""
+    """A request sent by this router that has no first event yet."""
 
     __slots__ = ("added_ms", "due_ms", "reading_ms", "sent_ms")
 
@@ -72,14 +75,14 @@
 
 
 class EngineModel:
-    """Prediction of an engine's first tokens.
+    """Predicts the time to first token at one engine.
 
     Parameters
     ----------
     memory_tokens
-        Tokens that its memory holds.
+        Capacity of its KV memory in tokens.
     first_token
-        How long the engines of its service take for a first token, which they have in common.
+        Time to a first token beyond prefill, shared by all engines of the service.
     """
 
     def __init__(
@@ -90,11 +93,11 @@
         self._added_ms = 0.0
         self._sent: dict[str, _Sent] = {}
         self._pace = 1.0
-        self._pace_ms = 0.0
-        self._kept: OrderedDict[str, int] = OrderedDict()
-        self._kept_tokens = 0
-        self._told_ms: dict[str, float] = {}
-        self._room = 0.0
+        self._pace_updated_ms = 0.0
+        self._cached: OrderedDict[str, int] = OrderedDict()
+        self._cached_tokens = 0
+        self._reported_ms: dict[str, float] = {}
+        self._capacity = 0.0
         self.running = 0
         self.resize(memory_tokens)
 
@@ -104,51 +107,51 @@
         return len(self._sent)
 
     def resize(self, memory_tokens: int) -> None:
-        """Take in how much the engine's memory holds, where that becomes known later or changes."""
-        self._room = memory_tokens * KEPT_PART_OF_MEMORY
-        self._make_room()
+        """Set the capacity of the engine's KV memory, which may become known later or change."""
+        self._capacity = memory_tokens * CACHE_FRACTION_OF_MEMORY
+        self._evict()
 
     def pace(self, now_ms: float) -> float:
-        """How many times longer than predicted the engine takes."""
-        past = max(0.0, now_ms - self._pace_ms)
+        """Speed factor: the engine's time as a multiple of the predicted one; decays towards 1."""
+        past = max(0.0, now_ms - self._pace_updated_ms)
         return 1.0 + (self._pace - 1.0) * 0.5 ** (past / PACE_HALF_LIFE_MS)
 
     def wait_ms(self, now_ms: float) -> float:
-        """Time until the engine has read all that was sent there."""
+        """Queueing delay: time until the engine has prefilled all prompts sent to it."""
         return max(0.0, self._free_ms - now_ms)
 
     @property
     def beyond_reading_ms(self) -> float:
-        """Time to a first token, once the prompt is read, beyond what any engine takes."""
+        """Time from the end of prefill to the first token, beyond `FIRST_TOKEN_MS`."""
         return self._first_token.beyond_ms
 
     @property
     def first_token_ms(self) -> float:
-        """Time to a first token once the prompt is read."""
+        """Time from the end of prefill to the first token."""
         return FIRST_TOKEN_MS + self._first_token.beyond_ms
 
     def keeps(self, part: PromptPart) -> bool:
-        """Whether the engine is known to keep a part."""
-        return part.key in self._kept
+        """Whether the engine is known to cache a prefix block."""
+        return part.key in self._cached
 
     def reading_ms(self, prompt: Prompt, assumed_kept: int = 0) -> float:
-        """Time to read what the engine does not keep of a prompt, at the pace of a sound engine."""
+        """Time to prefill the uncached rest of a prompt, at speed factor one."""
         return reading_ms_of(prompt, max(0, self.unread_tokens(prompt) - assumed_kept))
 
     def unread_tokens(self, prompt: Prompt) -> int:
-        """Prompt tokens that the engine has to read, as far as is known here."""
-        kept = sum(part.tokens for part in prompt.parts[: self.kept_parts(prompt)])
-        return max(0, prompt.tokens_in - kept)
+        """Prompt tokens that the engine has to prefill, according to the local state."""
+        cached = sum(part.tokens for part in prompt.parts[: self.kept_parts(prompt)])
+        return max(0, prompt.tokens_in - cached)
 
     def kept_parts(self, prompt: Prompt) -> int:
-        """How many parts of a prompt, from its beginning, the engine keeps."""
+        """Number of leading prefix blocks of a prompt that the engine caches."""
         for number, part in enumerate(prompt.parts):
-            if part.key not in self._kept:
+            if part.key not in self._cached:
                 return number
         return len(prompt.parts)
 
     def sent(self, request: str, prompt: Prompt, now_ms: float) -> float:
-        """Take in a request of this router; returns the reading time that others should add."""
+        """Record a request sent by this router; returns the prefill time that others should add."""
         reading_ms = self.reading_ms(prompt) * self.pace(now_ms)
         self._add(reading_ms, now_ms)
         due_ms = self._free_ms + FIRST_TOKEN_MS
@@ -157,82 +160,83 @@
         return reading_ms
 
     def sent_elsewhere(self, reading_ms: float, now_ms: float) -> None:
-        """Take in the reading time of what another router sent."""
+        """Add the prefill time of requests sent by another router."""
         self._add(reading_ms, now_ms)
 
     def first_event(self, request: str, now_ms: float) -> None:
-        """Take in that a request begins: all that was sent before it has been read.
+        """Record the first event of a request: all prompts sent before it have been prefilled.
 
-        The engine has read on since then, for the time that the first token took by itself.
+        The engine has gone on with later prompts for as long as the first token took beyond
+        prefill.
         """
         sent = self._sent.pop(request, None)
         if sent is None:
             return
         if sent.reading_ms <= SHORT_MS:
             self._first_token.observe(now_ms - sent.sent_ms - sent.reading_ms, now_ms)
-        read_ms = now_ms - self.beyond_reading_ms
-        self._learn(sent, read_ms)
+        prefilled_ms = now_ms - self.beyond_reading_ms
+        self._learn(sent, prefilled_ms)
         behind_ms = self._added_ms - sent.added_ms
-        self._free_ms = read_ms + behind_ms
+        self._free_ms = prefilled_ms + behind_ms
 
     def seen_elsewhere(self, wait_ms: float, pace: float, now_ms: float) -> None:
-        """Take in the queue and the pace that another router saw at a first event.
+        """Apply the queueing delay and speed factor that another router saw at a first event.
 
-        In a large fleet a router has a first event of its own from an engine only every few
-        seconds. Without those of the others the sum of what all send drifts away from the queue,
-        and requests are refused or sent where their parts are not kept.
+        In a large fleet a router gets a first event from an engine only every few seconds. Without
+        the observations of other routers, the sum of all sent work drifts away from the real queue,
+        and requests are refused or sent to engines that do not cache their prefix.
         """
         self._free_ms += SEEN_GAIN * (now_ms + wait_ms - max(now_ms, self._free_ms))
         own = self.pace(now_ms)
         self._pace = own + PACE_GAIN * (pace - own)
-        self._pace_ms = now_ms
+        self._pace_updated_ms = now_ms
 
     def dropped(self, request: str) -> None:
-        """Take in that a request ended without a first event."""
+        """Remove a request that ended without a first event."""
         self._sent.pop(request, None)
 
     def keep(self, parts: tuple[PromptPart, ...]) -> None:
-        """Take in that the engine keeps these parts; the least recently used ones yield."""
+        """Record that the engine caches these blocks; the least recently used ones are evicted."""
         for part in parts:
-            if part.key not in self._kept:
-                self._kept_tokens += part.tokens
-            self._kept[part.key] = part.tokens
-            self._kept.move_to_end(part.key)
-        self._make_room()
-
-    def _make_room(self) -> None:
-        while self._kept_tokens > self._room and self._kept:
-            key, tokens = self._kept.popitem(last=False)
-            self._kept_tokens -= tokens
-            self._told_ms.pop(key, None)
+            if part.key not in self._cached:
+                self._cached_tokens += part.tokens
+            self._cached[part.key] = part.tokens
+            self._cached.move_to_end(part.key)
+        self._evict()
+
+    def _evict(self) -> None:
+        while self._cached_tokens > self._capacity and self._cached:
+            key, tokens = self._cached.popitem(last=False)
+            self._cached_tokens -= tokens
+            self._reported_ms.pop(key, None)
 
     def keep_older(self, parts: list[PromptPart]) -> None:
-        """Take in parts that the engine told of itself; those known here were used later.
+        """Add blocks from the engine's own report; those known here were used more recently.
 
-        The engine's own room is larger than the model's, which leaves out what other routers'
-        requests read for themselves. Of what does not fit, the smallest parts are left out: large
-        ones are the shared ones, and cost most to read anew.
+        The engine's cache is larger than the model's, which leaves out the unshared blocks of other
+        routers' requests. If not all blocks fit, the smallest are dropped: large blocks are the
+        shared ones and cost most to recompute.
         """
-        known = list(self._kept.items())
+        known = list(self._cached.items())
         self.keep(tuple(sorted(parts, key=lambda part: part.tokens)))
         self.keep(tuple(PromptPart(key, tokens) for key, tokens in known))
 
     def keep_named(self, parts: list[tuple[str, int]], now_ms: float) -> None:
-        """Take in parts that another router told of, by key and size."""
+        """Record blocks that another router reported, by key and size."""
         for key, _ in parts:
-            self._told_ms[key] = now_ms
+            self._reported_ms[key] = now_ms
         self.keep(tuple(PromptPart(key, tokens) for key, tokens in parts))
 
     def parts_to_tell(self, prompt: Prompt, now_ms: float) -> list[PromptPart]:
-        """Shared parts of a prompt sent here that other routers do not know of."""
+        """Shared blocks of a prompt sent to this engine that other routers may not know of."""
         parts = [
             part
             for part in prompt.parts[:-1]
             if part.tokens >= PART_TOLD_TOKENS
-            and now_ms - self._told_ms.get(part.key, float("-inf")) >= PART_TOLD_MS
+            and now_ms - self._reported_ms.get(part.key, float("-inf")) >= PART_REPORT_INTERVAL_MS
         ]
         for part in parts:
-            self._told_ms[part.key] = now_ms
+            self._reported_ms[part.key] = now_ms
         return parts
 
     def _add(self, reading_ms: float, now_ms: float) -> None:
@@ -241,10 +245,10 @@
 
     def _learn(self, sent: _Sent, now_ms: float) -> None:
         predicted_ms = sent.due_ms - sent.sent_ms
-        if predicted_ms < PACE_MEASURED_MS:
+        if predicted_ms < MIN_PREDICTED_MS:
             return
         pace = self.pace(now_ms)
         observed = pace * (now_ms - sent.sent_ms) / predicted_ms
         learned = pace + PACE_GAIN * (observed - pace)
         self._pace = min(PACE_MAX, max(PACE_MIN, learned))
-        self._pace_ms = now_ms
+        self._pace_updated_ms = now_ms
--- a/packages/core/src/tamarack_core/placement.py
+++ b/packages/core/src/tamarack_core/placement.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request goes to, and whether it can still be served in time."""
+"""Choice of the endpoint for a request, with the predicted time to its first token."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 from tamarack_core.rendezvous import score
 
 FAILURE_PENALTY_MS = 600.0
-"""What one recent failure counts against an endpoint, in milliseconds: about the time that is lost
-when a request meets it again."""
+"""Cost in milliseconds of one recent failure of an endpoint: about the time that a request loses
+when it fails there, too."""
 
 AWAY_FROM_HOME_MS = 60.0
-"""What counts against an engine that neither keeps a prompt's shared part nor is its home.
-Without it, routers would read a part that nobody keeps at several engines at once."""
+"""Cost in milliseconds of an engine that neither caches a prompt's shared prefix block nor is its
+preferred engine (by rendezvous hashing). Without it, routers would prefill a block that is cached
+nowhere at several engines at once."""
 
 READING_WEIGHT = 5.0
-"""Times its reading that counts against an engine: one that reads a part anew keeps others waiting
-as long as the request itself, and drops other parts that are then read anew, too."""
+"""Weight of the prefill time in the cost of an engine: a prefill delays other requests as long as
+this one, and evicts other blocks, which are then recomputed, too."""
 
 FREE_MS = 8.0
-"""Queue up to which an engine counts as free: with the first steps of an answer it is what a queue
-may be for work of anyone."""
+"""Queueing delay in milliseconds up to which an engine counts as idle: together with the first
+decoding steps it stays below the bound up to which any workspace is admitted."""
 
-SOUND_FAILURES = 0.5
-"""Recent failures from which an engine is not taken for its being free: one that fails what it is
-sent has the shortest queue of all."""
+MAX_IDLE_FAILURES = 0.5
+"""Recent failures from which an engine is not chosen for being idle: an engine that fails all its
+requests has the shortest queue of all."""
 
 FULL_SLOT_MS = 25.0
 """Milliseconds until a slot of a full engine is free, for each request beyond its slots."""
@@ -57,51 +58,52 @@
     records: Mapping[str, EndpointRecord],
     now_ms: float,
 ) -> Choice | None:
-    """Pick the engine that costs least: its queue, what it has to read, and its failures.
+    """Choose the engine with the lowest cost: queue, prefill and recent failures.
 
-    A part that no engine is known to keep has a home, so that all routers read it at the same one.
-    Once it is kept anywhere, the home has no claim to it: an engine that has just come is the home
-    of a part of all, and would otherwise have them all read anew while others keep them.
+    A prefix block that no engine is known to cache has a preferred engine (by rendezvous hashing),
+    so that all routers prefill it at the same one. Once any engine caches the block, the preferred
+    engine is not favored: a new engine is the preferred one of a fraction of all blocks, and would
+    otherwise recompute them although other engines cache them.
     """
-    home = _home(prompt.anchor, endpoints, models)
-    keepers, others = _by_first_part(prompt, endpoints, models)
-    if home is not None and home in others:
-        others.remove(home)
-        keepers.append(home)
-    best: Choice | None = None
-    best_cost = float("inf")
-    for endpoint in keepers:
+    preferred = _preferred_engine(prompt.anchor, endpoints, models)
+    caching, others = _split_by_first_block(prompt, endpoints, models)
+    if preferred is not None and preferred in others:
+        others.remove(preferred)
+        caching.append(preferred)
+    cheapest: Choice | None = None
+    lowest_cost = float("inf")
+    for endpoint in caching:
         model = models[endpoint.name]
         pace = model.pace(now_ms)
         unread = model.unread_tokens(prompt)
-        assumed = prompt.anchor.tokens if prompt.anchor and endpoint is home else 0
+        assumed = prompt.anchor.tokens if prompt.anchor and endpoint is preferred else 0
         reading_ms = model.reading_ms(prompt, assumed) * pace
         first_token_ms = model.wait_ms(now_ms) + reading_ms + model.first_token_ms
         first_token_ms += _full_ms(endpoint, model)
         cost = first_token_ms + (READING_WEIGHT - 1.0) * reading_ms
         cost += FAILURE_PENALTY_MS * records[endpoint.name].failures(now_ms)
-        if endpoint is not home and unread >= prompt.tokens_in:
+        if endpoint is not preferred and unread >= prompt.tokens_in:
             cost += AWAY_FROM_HOME_MS
-        if cost < best_cost:
-            best_cost = cost
-            best = Choice(endpoint, first_token_ms, unread)
-    # All others read the whole prompt. One whose queue and reading alone cost as much as the best
-    # so far is looked at no further, which with 156 engines spares nearly all of the work.
+        if cost < lowest_cost:
+            lowest_cost = cost
+            cheapest = Choice(endpoint, first_token_ms, unread)
+    # All other engines prefill the whole prompt. One whose queue and prefill alone cost as much as
+    # the cheapest so far is skipped, which with 156 engines saves nearly all of the work.
     whole_ms = reading_ms_of(prompt, prompt.tokens_in)
     least_ms = FIRST_TOKEN_MS + AWAY_FROM_HOME_MS + READING_WEIGHT * whole_ms * PACE_MIN
     for endpoint in others:
         model = models[endpoint.name]
         wait_ms = model.wait_ms(now_ms)
-        if wait_ms + least_ms >= best_cost:
+        if wait_ms + least_ms >= lowest_cost:
             continue
         reading_ms = whole_ms * model.pace(now_ms)
         first_token_ms = wait_ms + reading_ms + model.first_token_ms + _full_ms(endpoint, model)
         cost = first_token_ms + (READING_WEIGHT - 1.0) * reading_ms + AWAY_FROM_HOME_MS
         cost += FAILURE_PENALTY_MS * records[endpoint.name].failures(now_ms)
-        if cost < best_cost:
-            best_cost = cost
-            best = Choice(endpoint, first_token_ms, prompt.tokens_in)
-    return best
+        if cost < lowest_cost:
+            lowest_cost = cost
+            cheapest = Choice(endpoint, first_token_ms, prompt.tokens_in)
+    return cheapest
 
 
 def choose_free(
@@ -111,18 +113,18 @@
     records: Mapping[str, EndpointRecord],
     now_ms: float,
 ) -> Choice | None:
-    """Pick an engine with next to nothing to do for a prompt whose keepers have no room.
+    """Choose an idle engine for a prompt when the engines that cache it are overloaded.
 
-    Of several, all routers pick the same for one part, by hashing: it then keeps the part, too, and
-    takes its share of what follows. Were each to pick any free engine, a part that is asked for
-    often would be read at as many engines as there are routers.
+    Of several idle engines, all routers choose the same one for a block, by rendezvous hashing: it
+    then caches the block, too, and takes part of the following requests. If each router chose any
+    idle engine, a popular block would be prefilled at as many engines as there are routers.
     """
     free = [
         endpoint
         for endpoint in endpoints
         if models[endpoint.name].wait_ms(now_ms) <= FREE_MS
         and not _full_ms(endpoint, models[endpoint.name])
-        and records[endpoint.name].failures(now_ms) < SOUND_FAILURES
+        and records[endpoint.name].failures(now_ms) < MAX_IDLE_FAILURES
     ]
     anchor = prompt.anchor
     if anchor is None or not free:
@@ -134,7 +136,7 @@
     return Choice(endpoint, first_token_ms, model.unread_tokens(prompt))
 
 
-def _home(
+def _preferred_engine(
     anchor: PromptPart | None, endpoints: Sequence[Endpoint], models: Mapping[str, EngineModel]
 ) -> Endpoint | None:
     if anchor is None or any(models[e.name].keeps(anchor) for e in endpoints):
@@ -142,18 +144,18 @@
     return max(endpoints, key=lambda e: score(anchor.key, e.name), default=None)
 
 
-def _by_first_part(
+def _split_by_first_block(
     prompt: Prompt, endpoints: Sequence[Endpoint], models: Mapping[str, EngineModel]
 ) -> tuple[list[Endpoint], list[Endpoint]]:
-    """Endpoints that keep the first part, and those that do not and so read all of the prompt."""
+    """Split endpoints by whether they cache the first block; those without it prefill all of it."""
     if not prompt.parts:
         return [], list(endpoints)
     first = prompt.parts[0]
-    keepers: list[Endpoint] = []
+    caching: list[Endpoint] = []
     others: list[Endpoint] = []
     for endpoint in endpoints:
-        (keepers if models[endpoint.name].keeps(first) else others).append(endpoint)
-    return keepers, others
+        (caching if models[endpoint.name].keeps(first) else others).append(endpoint)
+    return caching, others
 
 
 def choose_plain(
@@ -162,9 +164,9 @@
     failure_domain: str,
     now_ms: float,
 ) -> Choice | None:
-    """Pick the endpoint of a plain service whose answer is expected first."""
-    best: Choice | None = None
-    best_cost = float("inf")
+    """Choose the endpoint of a plain service with the earliest expected response."""
+    cheapest: Choice | None = None
+    lowest_cost = float("inf")
     for endpoint in endpoints:
         record = records[endpoint.name]
         rounds = 1.0 + record.outstanding / max(1, endpoint.slots)
@@ -172,10 +174,10 @@
         cost = answer_ms + FAILURE_PENALTY_MS * record.failures(now_ms)
         if endpoint.failure_domain != failure_domain:
             cost += 1.0
-        if cost < best_cost:
-            best_cost = cost
-            best = Choice(endpoint, answer_ms)
-    return best
+        if cost < lowest_cost:
+            lowest_cost = cost
+            cheapest = Choice(endpoint, answer_ms)
+    return cheapest
 
 
 def _full_ms(endpoint: Endpoint, model: EngineModel) -> float:
--- a/packages/core/src/tamarack_core/quarantine_records.py
+++ b/packages/core/src/tamarack_core/quarantine_records.py
@@ -1,4 +1,4 @@
-"""What the quarantine keeps of suspects, of its entries and of ends, and what it tells of them."""
+"""Records of the quarantine: suspects, quarantined requests and undecided crashes."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 PAUSE_FACTOR = 5.0
 LONGEST_PAUSE_MS = 6 * 3_600_000.0
-"""What each end in a trial makes of the time for which a request is quarantined, and its longest.
-With two minutes at first, a right verdict costs an endpoint after 2, 10, 50 minutes, 4 hours, and
-four a day from then on."""
+"""Factor by which each crash in a trial extends the pause until the next one, and the longest pause
+in milliseconds. With a first pause of two minutes, a harmful request costs an endpoint after 2, 10
+and 50 minutes and 4 hours, and four endpoints a day from then on."""
 
 MOST_FACTORS = 9
-"""Trials that lengthen the pause; the longest is reached by fewer."""
+"""Maximum number of trials that extend the pause; fewer reach the longest pause."""
 
 
 class QuarantineBounds(NamedTuple):
-    """What operators set.
+    """Settings of the quarantine.
 
     Attributes
     ----------
     ends
-        Ends met from which a request can be quarantined, if it was the only suspect at the last.
-        The users allow three before a request counts as known.
+        Crashes met from which on a request can be quarantined, if it was the only suspect at the
+        last one. Three are allowed before a request has to be recognized.
     first_pause_ms
-        Time for which a request is quarantined until it is tried once more, apart and by one
-        router: a wrong verdict ends after two minutes.
+        Milliseconds until a quarantined request is tried again, isolated and by one router: a wrong
+        decision is corrected after two minutes.
     """
 
     ends: int = 3
@@ -35,7 +35,7 @@
 
 
 class Suspect:
-    """A request that met ends and was not answered whole since."""
+    """A request that met crashes and was not answered completely since."""
 
     __slots__ = ("ends", "last_ms", "weight", "workspace")
 
@@ -47,14 +47,14 @@
 
 
 class Quarantined:
-    """A request that is quarantined, and since when it was not tried.
+    """A quarantined request and the start of its current pause.
 
     Attributes
     ----------
     stored
         Whether the platform's store lists it.
     on_trial
-        Whether this router tries it again.
+        Whether this router is trying it again.
     """
 
     __slots__ = ("on_trial", "since_ms", "stored", "trials", "workspace")
@@ -67,13 +67,13 @@
         self.on_trial = False
 
     def tried_at_ms(self, first_pause_ms: float) -> float:
-        """When it is tried again."""
-        grown = first_pause_ms * PAUSE_FACTOR ** min(self.trials, MOST_FACTORS)
-        return self.since_ms + min(max(LONGEST_PAUSE_MS, first_pause_ms), grown)
+        """Earliest time of its next trial."""
+        extended_ms = first_pause_ms * PAUSE_FACTOR ** min(self.trials, MOST_FACTORS)
+        return self.since_ms + min(max(LONGEST_PAUSE_MS, first_pause_ms), extended_ms)
 
 
 class OpenEnd:
-    """An end on which the verdict is not yet given."""
+    """An undecided crash; `aboard` maps fingerprints to whether the request had only begun."""
 
     __slots__ = ("aboard", "first_ms", "together")
 
@@ -84,7 +84,7 @@
 
 
 class QuarantinedReading(NamedTuple):
-    """A quarantined request as operators see it; `tried_in_ms` is the time until its next trial."""
+    """A quarantined request in operator output; `tried_in_ms` is the time until its next trial."""
 
     fingerprint: str
     workspace: str
@@ -94,7 +94,7 @@
 
 
 class SuspectReading(NamedTuple):
-    """A suspect as operators see it."""
+    """A suspect in operator output."""
 
     fingerprint: str
     workspace: str
--- a/packages/core/src/tamarack_core/workspace_table.py
+++ b/packages/core/src/tamarack_core/workspace_table.py
@@ -1,4 +1,4 @@
-"""A bounded table of which no workspace can take the others' room."""
+"""A bounded table with a limit per workspace, so that none can evict the entries of others."""
 
 from __future__ import annotations
 
@@ -8,16 +8,15 @@
 
 
 class WorkspaceTable(Generic[T]):
-    """Values by key, each of one workspace.
+    """Values by key, each owned by one workspace.
 
-    Where a workspace has as many as it may, its own oldest value yields. Where the table is full,
-    the oldest value of the workspace that has most does: one that fills the table with ten thousand
-    keys pushes out only its own.
+    A workspace at its limit evicts its own oldest value. A full table evicts the oldest value of
+    the workspace that has most values: one that inserts ten thousand keys evicts only its own.
 
     Parameters
     ----------
     most, most_of_one
-        Values in all, and of one workspace.
+        Maximum number of values in total, and per workspace.
     """
 
     def __init__(self, *, most: int, most_of_one: int) -> None:
@@ -34,36 +33,36 @@
         return key in self._values
 
     def items(self) -> list[tuple[str, T]]:
-        """All keys with their values, in the order in which they were put first."""
+        """All keys with their values, in insertion order."""
         return list(self._values.items())
 
     def get(self, key: str) -> T | None:
-        """The value of a key; None without one."""
+        """Value of a key; None if it is missing."""
         return self._values.get(key)
 
     def count(self, workspace: str) -> int:
-        """How many values a workspace has."""
+        """Number of values of a workspace."""
         return len(self._keys.get(workspace, ()))
 
     def put(self, key: str, workspace: str, value: T) -> list[str]:
-        """Put a value, as its workspace's newest; returns the keys that yielded."""
+        """Insert a value as its workspace's newest; returns the evicted keys."""
         self.pop(key)
         self._values[key] = value
         self._owners[key] = workspace
         own = self._keys.setdefault(workspace, {})
         own[key] = None
-        yielded = []
+        evicted = []
         if len(own) > self._most_of_one:
-            yielded.append(next(iter(own)))
+            evicted.append(next(iter(own)))
         elif len(self._values) > self._most:
             largest = max(self._keys, key=self.count)
-            yielded.append(next(iter(self._keys[largest])))
-        for oldest in yielded:
+            evicted.append(next(iter(self._keys[largest])))
+        for oldest in evicted:
             self.pop(oldest)
-        return yielded
+        return evicted
 
     def pop(self, key: str) -> T | None:
-        """Take a value out; None where there is none."""
+        """Remove and return a value; None if it is missing."""
         if key not in self._values:
             return None
         workspace = self._owners.pop(key)
