--- a/packages/core/src/tamarack_core/admitted_placement.py
+++ b/packages/core/src/tamarack_core/admitted_placement.py
@@ -19,7 +19,7 @@
 from tamarack_core.prompt import Prompt
 from tamarack_core.workspace_shares import Position
 
-SPREAD_PREFILL_FACTOR = 2.0
+SPREAD_READS = 2.0
 """Longest prefill at an idle engine, as a multiple of the tokens that are not cached at the engine
 with the lowest cost: it may recompute no more than it computes for the first time. Each prefill
 takes the idle engine from requests whose prefixes it caches; without a bound, prompts with a long
@@ -84,7 +84,7 @@
         free_fraction = _free_fraction(engines, now_ms)
         eased = position._replace(standing=eased_standing(position.standing, free_fraction))
     decision = _decide(choice, prompt, engines, eased, terms, now_ms)
-    worth_reading = prompt.tokens_in <= SPREAD_PREFILL_FACTOR * choice.unread_tokens
+    worth_reading = prompt.tokens_in <= SPREAD_READS * choice.unread_tokens
     if decision.verdict is not Admission.ADMITTED and eased.standing <= 1.0 and worth_reading:
         others = [endpoint for endpoint in engines.endpoints if endpoint is not choice.endpoint]
         on_idle = _place_on_idle(prompt, engines._replace(endpoints=others), eased, terms, now_ms)
--- a/packages/core/src/tamarack_core/endpoint_record.py
+++ b/packages/core/src/tamarack_core/endpoint_record.py
@@ -1,26 +1,27 @@
-"""How one endpoint has answered lately."""
+"""Recent failures and latency of one endpoint."""
 
 from __future__ import annotations
 
 FAILURE_HALF_LIFE_MS = 3_000.0
-"""Time after which a failure counts half: a crashed endpoint is tried again within seconds, by a
+"""Half-life in milliseconds of a failure: a crashed endpoint is tried again within seconds, with a
 few requests."""
 
 SUCCESS_FACTOR = 0.75
-"""What a success leaves of the failures counted."""
+"""Factor by which a success reduces the failure count."""
 
 FAILURES_MAX = 6.0
-"""Most failures that count, so that a long outage is not held against an endpoint for long."""
+"""Upper bound of the failure count, so that an endpoint recovers soon after a long outage."""
 
 LATENCY_GAIN = 0.2
-"""Weight of one answer in the mean latency."""
+"""Weight of one answer in the moving average of the latency."""
 
 FIRST_LATENCY_MS = 45.0
-"""Latency taken for an endpoint that has not answered yet, as the users' sheets tell it."""
+"""Latency in milliseconds assumed for an endpoint that has not answered yet, from the users' data
+sheets."""
 
 
 class EndpointRecord:
-    """Failures, latency and load of one endpoint as this router sees them."""
+    """Failures, latency and load of one endpoint as observed by this router."""
 
     def __init__(self) -> None:
         self._failures = 0.0
@@ -29,23 +30,23 @@
         self.outstanding = 0
 
     def failures(self, now_ms: float) -> float:
-        """Recent failures, older ones counted less."""
-        past = max(0.0, now_ms - self._failed_ms)
-        return self._failures * 0.5 ** (past / FAILURE_HALF_LIFE_MS)
+        """Recent failures, decaying with their age."""
+        elapsed_ms = max(0.0, now_ms - self._failed_ms)
+        return self._failures * 0.5 ** (elapsed_ms / FAILURE_HALF_LIFE_MS)
 
     @property
     def latency_ms(self) -> float:
-        """Mean time of its answers in milliseconds."""
+        """Moving average of the response time in milliseconds."""
         return self._latency_ms
 
     def succeeded(self, now_ms: float, latency_ms: float | None = None) -> None:
-        """Take in a good answer."""
+        """Record a successful answer."""
         self._failures = self.failures(now_ms) * SUCCESS_FACTOR
         self._failed_ms = now_ms
         if latency_ms is not None:
             self._latency_ms += LATENCY_GAIN * (latency_ms - self._latency_ms)
 
     def failed(self, now_ms: float, weight: float = 1.0) -> None:
-        """Take in an answer that failed or did not come."""
+        """Record a failed or missing answer."""
         self._failures = min(FAILURES_MAX, self.failures(now_ms) + weight)
         self._failed_ms = now_ms
--- a/packages/core/src/tamarack_core/engine_model.py
+++ b/packages/core/src/tamarack_core/engine_model.py
@@ -46,12 +46,12 @@
 """Smallest prefix block that is reported to other routers; a smaller one is recomputed in a few
 milliseconds."""
 
-PART_REPORT_INTERVAL_MS = 3_000.0
+PART_TOLD_MS = 3_000.0
 """Milliseconds after which a block that is used again is reported again, so that other routers do
 not treat it as evicted; reporting all blocks after each placement would double the traffic between
 failure domains."""
 
-CACHE_FRACTION_OF_MEMORY = 0.6
+KEPT_PART_OF_MEMORY = 0.6
 """Fraction of an engine's KV memory that the model assumes for cached prefix blocks; running
 requests use the rest."""
 
@@ -108,7 +108,7 @@
 
     def resize(self, memory_tokens: int) -> None:
         """Set the capacity of the engine's KV memory, which may become known later or change."""
-        self._capacity = memory_tokens * CACHE_FRACTION_OF_MEMORY
+        self._capacity = memory_tokens * KEPT_PART_OF_MEMORY
         self._evict()
 
     def pace(self, now_ms: float) -> float:
@@ -233,7 +233,7 @@
             part
             for part in prompt.parts[:-1]
             if part.tokens >= PART_TOLD_TOKENS
-            and now_ms - self._reported_ms.get(part.key, float("-inf")) >= PART_REPORT_INTERVAL_MS
+            and now_ms - self._reported_ms.get(part.key, float("-inf")) >= PART_TOLD_MS
         ]
         for part in parts:
             self._reported_ms[part.key] = now_ms
--- a/packages/core/src/tamarack_core/json_input.py
+++ b/packages/core/src/tamarack_core/json_input.py
@@ -1,4 +1,4 @@
-"""JSON that somebody else wrote."""
+"""Decoding and validation of untrusted JSON."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 def decode_json(decoder: msgspec.json.Decoder[T], data: bytes) -> T:
-    """Decode bytes; raises `ValueError` whatever is wrong with them.
+    """Decode bytes; raises `ValueError` for any invalid input.
 
-    Some tens of kilobytes of opening brackets nest too deeply for the decoder, which then raises
-    an error that is no `ValueError`: a task that reads a table would end, and its router would
-    hear of no change any more.
+    Some tens of kilobytes of opening brackets exceed the decoder's recursion limit. The resulting
+    error is no `ValueError`: it would end the task that follows a table, and the router would
+    receive no further changes.
     """
     try:
         return decoder.decode(data)
@@ -26,7 +26,7 @@
 
 
 def is_ip_port(text: str) -> bool:
-    """Whether a text is an IPv4 address and a port that can be connected to."""
+    """Whether a text is an IPv4 address and port to which a connection is possible."""
     host, _, port = text.rpartition(":")
     try:
         address = IPv4Address(host)
--- a/packages/core/src/tamarack_core/key_freshness.py
+++ b/packages/core/src/tamarack_core/key_freshness.py
@@ -1,20 +1,19 @@
-"""How long ago the configuration was known to be the newest."""
+"""Freshness of the configuration's API keys, by the time since the last confirmation."""
 
 from __future__ import annotations
 
 
 class KeyFreshness:
-    """Whether keys may still be trusted.
+    """Decides whether API keys may still be accepted.
 
-    A key that was taken away must not open anything a bounded time later, also at a router that
-    no longer hears of changes. A router that cannot confirm its configuration therefore stops
-    trusting keys before that bound is over; one would notice a failure by a run under a key that
-    no configuration holds any more.
+    A revoked key must not be accepted later than a bounded time after its revocation, even by a
+    router that receives no updates. A router that cannot confirm its configuration therefore stops
+    accepting keys before that bound; otherwise requests would run under a revoked key.
 
     Parameters
     ----------
     lapse_ms
-        Milliseconds after the last confirmation at which keys are no longer trusted.
+        Milliseconds after the last confirmation until which keys are accepted.
     """
 
     def __init__(self, lapse_ms: float) -> None:
@@ -22,10 +21,10 @@
         self._confirmed_ms = float("-inf")
 
     def confirm(self, asked_ms: float) -> None:
-        """Take in that the configuration held was the newest at `asked_ms` or later.
+        """Record that the configuration in use was the newest one at `asked_ms` or later.
 
-        `asked_ms` is the time at which the confirming call was sent: its answer may have been
-        held up on the way for any time.
+        `asked_ms` is the time at which the confirming call was sent, as its answer may have been
+        delayed for any time.
         """
         self._confirmed_ms = max(self._confirmed_ms, asked_ms)
 
@@ -34,5 +33,5 @@
         return now_ms - self._confirmed_ms
 
     def trusted(self, now_ms: float) -> bool:
-        """Whether keys may open anything now."""
+        """Whether keys may be accepted now."""
         return self.age_ms(now_ms) <= self._lapse_ms
--- a/packages/core/src/tamarack_core/loop_lag.py
+++ b/packages/core/src/tamarack_core/loop_lag.py
@@ -1,59 +1,61 @@
-"""How late an event loop runs its callbacks, and whether it takes more than its processor bears."""
+"""Event-loop lag of a router, and detection of overload by it."""
 
 from __future__ import annotations
 
 SAMPLE_MS = 50.0
-"""Time between two samples: several within the bound, at 20 short callbacks a second."""
+"""Time in milliseconds between two samples: several within the time in which callers have to be
+read, at the cost of 20 short callbacks a second."""
 
 LATE_MS = 120.0
-"""Lateness of a sample that counts as late. A connection is accepted, read and sent on in about six
-rounds of the loop, 0.7 s with such rounds, and callers want to be read within one second. It is
-above the tenth of a second for which a processor's quota may hold the process."""
+"""Lag in milliseconds from which a sample counts as late. Accepting, reading and forwarding a
+request takes about six iterations of the loop, 0.7 s with such a lag, and callers expect to be read
+within one second. It exceeds the tenth of a second for which a CPU quota may pause the process."""
 
 CALM_MS = 60.0
-"""Lateness of a sample that counts as calm; half of the bound, so that the state is steady. Above
-the 48 ms for which a quota of half a core stops a process: with 40 ms, one sample of 45 ms in eight
-kept a router that had recovered overloaded for good."""
+"""Lag in milliseconds below which a sample counts as calm; half of `LATE_MS`, as a hysteresis. It
+exceeds the 48 ms for which a CPU quota of half a core pauses a process: with 40 ms, one sample of
+45 ms in eight kept a recovered router overloaded for good."""
 
 LATE_SAMPLES = 2
-"""Late samples in a row that make an overload: a single one is a suspension or a long callback,
-and what lay unread meanwhile may be done in the next round."""
+"""Consecutive late samples that start an overload: a single one is a suspended process or a long
+callback, and the next iteration of the loop may clear its backlog."""
 
 CALM_SAMPLES = 8
-"""Calm samples in a row that end it, 0.4 s: callers that went elsewhere do not all come back."""
+"""Consecutive calm samples that end an overload, 0.4 s: not all callers that went to other routers
+come back."""
 
 SHED_MS = 350.0
 TAKE_MS = 50.0
-"""Milliseconds in which all that comes to an overloaded router is refused, and after these in which
-it is taken, in turn. Were all refused without end, nobody would be served where all routers are
-behind, or where the lag has another cause than their callers."""
+"""Alternating periods in milliseconds in which an overloaded router refuses all new requests and
+accepts them. With permanent refusal no request would be served if all routers are overloaded, or if
+the lag is not caused by their callers."""
 
 AVOID_MS = 3_300.0
-"""Milliseconds after an overload for which callers are still sent elsewhere. Some use an answer
-with addresses for three times its time to live of a second: a shorter sign is not seen by the
-caller of much traffic that brought the overload about, and it stays."""
+"""Milliseconds after an overload for which callers are still directed to other routers. Some use an
+answer with addresses for three times its time to live of one second: with a shorter period the
+caller whose traffic caused the overload would not notice it, and would stay."""
 
 PEAK_KEPT = 0.95
-"""Part of the shown lag that remains after each sample: readers come seldom, and it halves in
-0.7 s."""
+"""Factor by which the reported peak lag decays with each sample. It halves in 0.7 s, since it is
+read only now and then."""
 
 
 class LoopLag:
-    """Judges one loop by how late its timers fire.
+    """Detects overload of one event loop by the lag of its timers.
 
     Attributes
     ----------
     lag_ms
-        Lateness lately: its peak, which fades.
+        Recent peak of the lag, which decays.
     most_ms
-        Greatest lateness of all.
+        Highest lag since the start.
     overloads
-        How often an overload began.
+        Number of overloads.
     """
 
     def __init__(self) -> None:
-        self._late = 0
-        self._calm = 0
+        self._late_samples = 0
+        self._calm_samples = 0
         self._overloaded = False
         self._since_ms = 0.0
         self._ended_ms = float("-inf")
@@ -63,30 +65,30 @@
 
     @property
     def overloaded(self) -> bool:
-        """Whether the loop is behind for longer than a moment."""
+        """Whether the loop lags persistently."""
         return self._overloaded
 
     def avoid(self, now_ms: float) -> bool:
-        """Whether callers should be sent elsewhere: it is overloaded, or was a moment ago."""
+        """Whether callers should use other routers: this one is or was recently overloaded."""
         return self._overloaded or now_ms - self._ended_ms < AVOID_MS
 
     def sheds(self, now_ms: float) -> bool:
-        """Whether what comes at this time is refused."""
+        """Whether requests that arrive now are refused."""
         return self._overloaded and (now_ms - self._since_ms) % (SHED_MS + TAKE_MS) < SHED_MS
 
     def woke(self, late_ms: float, now_ms: float) -> bool:
-        """Take in how late a timer fired; returns whether an overload began or ended."""
+        """Record the lag of a timer; returns whether an overload began or ended."""
         late_ms = max(0.0, late_ms)
         self.lag_ms = max(late_ms, self.lag_ms * PEAK_KEPT)
         self.most_ms = max(late_ms, self.most_ms)
-        self._late = self._late + 1 if late_ms > LATE_MS else 0
-        self._calm = self._calm + 1 if late_ms < CALM_MS else 0
-        if not self._overloaded and self._late >= LATE_SAMPLES:
+        self._late_samples = self._late_samples + 1 if late_ms > LATE_MS else 0
+        self._calm_samples = self._calm_samples + 1 if late_ms < CALM_MS else 0
+        if not self._overloaded and self._late_samples >= LATE_SAMPLES:
             self._overloaded = True
             self._since_ms = now_ms
             self.overloads += 1
             return True
-        if self._overloaded and self._calm >= CALM_SAMPLES:
+        if self._overloaded and self._calm_samples >= CALM_SAMPLES:
             self._overloaded = False
             self._ended_ms = now_ms
             return True
--- a/packages/core/src/tamarack_core/prompt.py
+++ b/packages/core/src/tamarack_core/prompt.py
@@ -1,4 +1,4 @@
-"""What a router knows of a generation before it runs."""
+"""Prompt of a generation as a router knows it: sizes and prefix blocks."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class PromptPart(NamedTuple):
-    """A run of prompt tokens that requests may share.
+    """A prefix block: consecutive prompt tokens that requests may share.
 
     Attributes
     ----------
     key
-        Names the part and the model. An engine can only use a kept part when it keeps all that
-        stands before it, too.
+        Model and name of the block. An engine can use a cached block only if it also caches all
+        blocks before it.
     tokens
-        Its size.
+        Size in tokens.
     """
 
     key: str
@@ -29,9 +29,9 @@
     tokens_in
         Prompt tokens.
     max_tokens_out
-        Tokens that it may generate at the most.
+        Maximum number of generated tokens.
     parts
-        Its parts in order; the last one is the request's or its session's own.
+        Its prefix blocks in order; the last one belongs to the request or its session alone.
     """
 
     tokens_in: int
@@ -40,20 +40,20 @@
 
     @property
     def anchor(self) -> PromptPart | None:
-        """The largest part that other requests may share; it decides where the prompt belongs."""
+        """The largest block that other requests may share; it selects the preferred engine."""
         return max(self.parts[:-1], key=lambda part: part.tokens, default=None)
 
     @property
     def charge(self) -> float:
-        """Tokens that count against a workspace's share: read once, generated twice."""
+        """Tokens charged to a workspace's share: prompt tokens once, generated tokens twice."""
         return self.tokens_in + 2.0 * self.max_tokens_out
 
 
 def part_key(model: str, part: str) -> str:
-    """Name a part by the model that read it: what one model has read is of no use to another."""
+    """Key of a prefix block; it includes the model, as models cannot share cached blocks."""
     return f"{model}/{part}"
 
 
 def parts_of(model: str, parts: list[tuple[str, int]]) -> tuple[PromptPart, ...]:
-    """Parts of a prompt under their keys, in order."""
+    """Prefix blocks of a prompt with their keys, in order."""
     return tuple(PromptPart(part_key(model, part), tokens) for part, tokens in parts)
--- a/packages/core/src/tamarack_core/quarantine.py
+++ b/packages/core/src/tamarack_core/quarantine.py
@@ -40,7 +40,7 @@
 interrupted by a crash would be isolated."""
 
 SURE_FACTOR = 2.0
-"""Multiple of `QuarantineBounds.ends` from which on a request is quarantined whatever ran beside it:
+"""Multiple of `QuarantineBounds.ends` from which on a request is quarantined whatever ran with it:
 suspects that always meet, or crashes that always coincide, must not delay a decision for ever."""
 
 LATE_WEIGHT = 0.25
--- a/packages/core/src/tamarack_core/rendezvous.py
+++ b/packages/core/src/tamarack_core/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: the same winner on every router that knows the same members."""
+"""Rendezvous hashing: every router that knows the same members prefers the same one."""
 
 from __future__ import annotations
 
--- a/packages/core/src/tamarack_core/retry_allowance.py
+++ b/packages/core/src/tamarack_core/retry_allowance.py
@@ -1,27 +1,27 @@
-"""A router's part of the retries that a service gets from the whole fleet."""
+"""One router's share of the fleet-wide retry budget of each service."""
 
 from __future__ import annotations
 
 from collections import deque
 
 SAFETY = 0.7
-"""Part of the fleet's bound that is used: routers count with clocks and windows of their own, and
-a window of one may overlap two windows of another."""
+"""Fraction of the fleet's budget that is used: routers have their own clocks and windows, and the
+window of one may overlap two windows of another."""
 
 
 class RetryAllowance:
-    """Allows a share of the requests, and a part of a fixed slack, to be sent again.
+    """Retry budget: a fraction of the router's requests plus a part of a fixed slack.
 
-    All routers together may send a service no more than `ratio` of its requests plus `slack`
-    again within any window. A router counts its own requests for the ratio, and takes an equal
-    part of the slack, by the most routers that it has seen: one that is cut off and sees fewer
-    must not take a larger part. Without a bound, endpoints that fail under load would get every
-    request several times over.
+    All routers together may retry no more than `ratio` of a service's requests plus `slack` within
+    any window. A router applies the ratio to its own requests and takes an equal part of the slack,
+    divided by the highest number of routers that it has seen: a partitioned router that sees fewer
+    must not take a larger part. Without a budget, endpoints that fail under load would receive
+    every request several times.
 
     Parameters
     ----------
     ratio, slack, window_ms
-        The fleet's bound.
+        The fleet-wide budget.
     """
 
     def __init__(self, ratio: float, slack: float, window_ms: float) -> None:
@@ -35,25 +35,25 @@
 
     @property
     def routers(self) -> int:
-        """The most routers that were seen."""
+        """Highest number of routers seen."""
         return self._routers
 
     def seen(self, routers: int) -> None:
-        """Note how many routers there are; the largest number counts."""
+        """Record the current number of routers; the highest one counts."""
         self._routers = max(self._routers, routers)
 
     def note_request(self, service: str, now_ms: float) -> None:
         """Count a request for a service."""
         times = self._requests.setdefault(service, deque())
         times.append(now_ms)
-        self._forget(times, now_ms)
+        self._expire(times, now_ms)
 
     def take(self, service: str, now_ms: float) -> bool:
-        """Take one retry for a service; False if none is left in this window."""
+        """Consume one retry for a service; False if the budget of this window is used up."""
         requests = self._requests.setdefault(service, deque())
         retries = self._retries.setdefault(service, deque())
-        self._forget(requests, now_ms)
-        self._forget(retries, now_ms)
+        self._expire(requests, now_ms)
+        self._expire(retries, now_ms)
         allowed = SAFETY * (self._ratio * len(requests) + self._slack / self._routers)
         if len(retries) + 1 > allowed:
             return False
@@ -61,6 +61,6 @@
         self.taken += 1
         return True
 
-    def _forget(self, times: deque[float], now_ms: float) -> None:
+    def _expire(self, times: deque[float], now_ms: float) -> None:
         while times and times[0] < now_ms - self._window_ms:
             times.popleft()
--- a/packages/core/src/tamarack_core/return_detector.py
+++ b/packages/core/src/tamarack_core/return_detector.py
@@ -1,24 +1,24 @@
-"""Which requests are repeats by a caller that was refused before."""
+"""Detection of retries by callers that were refused before."""
 
 from __future__ import annotations
 
 RETURN_PART = 0.96
-"""Part of a route's usual deadline below which a request counts as a repeat: a caller tells what
-is left of the time that it had, and comes back after half a second at the earliest."""
+"""Fraction of a route's usual deadline below which a request counts as a retry: a caller sends the
+rest of its original time, and retries after half a second at the earliest."""
 
 
 class ReturnDetector:
-    """Tells repeats by the time that their callers still wait.
+    """Recognizes retries by the remaining time of their callers.
 
-    A repeat has an attempt id of its own and looks like a new request but for its deadline: callers
-    of one route wait equally long, and one that comes back has used some of that time.
+    A retry has its own attempt id and differs from a new request only in its deadline: all callers
+    of a route wait equally long, and a retry has used up some of that time.
     """
 
     def __init__(self) -> None:
         self._usual_ms: dict[str, float] = {}
 
     def returned(self, route: str, wait_ms: float | None) -> bool:
-        """Whether a request that its caller waits `wait_ms` for has come back."""
+        """Whether a request for which its caller still waits `wait_ms` is a retry."""
         if wait_ms is None:
             return False
         usual_ms = max(self._usual_ms.get(route, 0.0), wait_ms)
--- a/packages/core/src/tamarack_core/ruleset.py
+++ b/packages/core/src/tamarack_core/ruleset.py
@@ -1,7 +1,7 @@
-"""What is in force at a site whose requests are told apart by host and path.
+"""Configuration of a site with routes by host and path prefix.
 
-A `Ruleset` is one version of the configuration, complete and never changed: a newer version
-replaces it whole, so that one request never sees parts of two versions.
+A `Ruleset` is one complete, immutable version of the configuration: a newer version replaces it as
+a whole, so that a request never sees parts of two versions.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RequestKind(StrEnum):
-    """What may be repeated of a request."""
+    """Semantics of a request with respect to retries."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at-most-once"
@@ -20,27 +20,27 @@
 
 
 class ServiceShare(NamedTuple):
-    """A service and the part of a route's requests that it gets."""
+    """A service and its weight in the traffic split of a route."""
 
     service: str
     weight: int
 
 
 class Route(NamedTuple):
-    """Requests of one host below one path prefix.
+    """Rules for the requests of one host below one path prefix.
 
     Attributes
     ----------
     time_limit_ms
-        The longest time in milliseconds that a caller is kept waiting, from its arrival.
+        Longest time in milliseconds that a caller waits, from the arrival of its request.
     aim_ms
-        Milliseconds within which an answer (of a stream: its first event) has its full worth.
+        Latency target in milliseconds for an answer, or for the first event of a stream.
     max_attempts
-        Endpoints to which one request may be sent at the most.
+        Maximum number of endpoints to which one request is sent.
     public
-        Whether a request needs no key.
+        Whether requests need no key.
     resumable
-        Whether a broken stream may go on at another endpoint after the last event.
+        Whether an interrupted stream may resume at another endpoint after the last event.
     """
 
     name: str
@@ -56,38 +56,38 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run can be sent to another endpoint."""
+        """Whether a request that may have run may be retried at another endpoint."""
         if self.kind is RequestKind.STREAM:
             return self.resumable
         return self.kind is RequestKind.IDEMPOTENT
 
     @property
     def streams(self) -> bool:
-        """Whether answers are series of events."""
+        """Whether answers are event streams."""
         return self.kind is RequestKind.STREAM
 
     def service_for(self, draw: float) -> str:
-        """Service for a request, by a number from 0 up to 1 drawn for it."""
+        """Service for a request, by a random number in [0, 1) drawn for it."""
         total = sum(share.weight for share in self.shares)
-        mark = draw * total
+        threshold = draw * total
         for share in self.shares:
-            mark -= share.weight
-            if mark < 0:
+            threshold -= share.weight
+            if threshold < 0:
                 return share.service
         return self.shares[-1].service
 
 
 class EngineTraits(NamedTuple):
-    """What the configuration tells of a service's model engines.
+    """Configured properties of a service's model engines.
 
     Attributes
     ----------
     slots
-        Requests that run at once.
+        Requests that run concurrently.
     memory_tokens
-        Tokens that running requests and kept prompt parts share.
+        KV memory in tokens, shared by running requests and cached prefix blocks.
     tokens_per_event
-        Tokens that one event of a stream holds.
+        Tokens in one event of a stream.
     """
 
     slots: int
@@ -96,14 +96,14 @@
 
 
 class Service(NamedTuple):
-    """A pool of endpoints that do the same work.
+    """A pool of interchangeable endpoints.
 
     Attributes
     ----------
     max_connections
-        Connections that an endpoint takes from all routers together.
+        Connections that an endpoint accepts from all routers together.
     engine
-        Traits of its engines; None for a plain service.
+        Properties of its model engines; None for a plain service.
     """
 
     name: str
@@ -112,14 +112,14 @@
 
 
 class CallerBounds(NamedTuple):
-    """What a caller may send and how slowly.
+    """Size limits and timeouts for callers.
 
     Attributes
     ----------
     header_bytes, body_bytes
-        Sizes in bytes.
+        Maximum sizes in bytes.
     header_ms, idle_ms
-        Milliseconds to send a request's head, and that a kept connection may be idle.
+        Timeouts in milliseconds for sending a request's head and for an idle connection.
     """
 
     header_bytes: int = 16_384
@@ -134,8 +134,8 @@
     Parameters
     ----------
     tokens_per_s
-        What all engines together carry, each prompt token counted once and each generated token
-        twice; zero where it is not told.
+        Throughput of all engines together, each prompt token counted once and each generated token
+        twice; zero if it is not configured.
     needs_keys
         Whether requests on routes that are not public need a key.
     """
@@ -168,24 +168,24 @@
             self._by_host.setdefault(route.host, []).append(route)
 
     def with_keys(self, workspace_by_key: dict[str, str]) -> Ruleset:
-        """The same version with other keys, where only these are known of a newer one."""
+        """Copy of this version with the keys of a newer one of which only the keys are known."""
         changed = copy.copy(self)
         changed._workspace_by_key = workspace_by_key
         return changed
 
     @property
     def version(self) -> int:
-        """Number of the version; versions only rise."""
+        """Version number; it only increases."""
         return self._version
 
     @property
     def bounds(self) -> CallerBounds:
-        """What callers may send."""
+        """Limits for callers."""
         return self._bounds
 
     @property
     def tokens_per_s(self) -> float:
-        """Tokens a second that workspaces share."""
+        """Tokens per second that workspaces share."""
         return self._tokens_per_s
 
     @property
@@ -199,14 +199,14 @@
         return self._needs_keys
 
     def route_for(self, host: str, path: str) -> Route | None:
-        """Route with the longest prefix that begins `path`, None if no route does."""
+        """Route with the longest prefix that matches `path`; None if there is none."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def shortest_aim_ms(self, service: str) -> float:
-        """Shortest aim of the routes whose streams a service makes."""
+        """Shortest latency target of the streaming routes of a service; infinite without any."""
         return self._shortest_aims.get(service, float("inf"))
 
     @property
@@ -215,9 +215,9 @@
         return list(self._services.values())
 
     def service(self, name: str) -> Service | None:
-        """Service of that name."""
+        """Service of that name; None if there is none."""
         return self._services.get(name)
 
     def workspace_of(self, key: str) -> str | None:
-        """Workspace that holds `key`."""
+        """Workspace of an API key; None if it is unknown."""
         return self._workspace_by_key.get(key)
--- a/packages/core/src/tamarack_core/service_shares.py
+++ b/packages/core/src/tamarack_core/service_shares.py
@@ -1,4 +1,4 @@
-"""Shares of workspaces at each service of model engines."""
+"""Fair shares of workspaces at each service of model engines."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class ServiceShares:
-    """Counts of what workspaces ask for and get, apart for each service.
+    """Demand and service of workspaces, counted separately for each service.
 
-    Engines of one service do nothing for the requests of another. Counted together, a workspace
-    that is far ahead at a busy service would be refused at the free engines of the others.
+    Engines of one service do not serve requests of another. If they were counted together, a
+    workspace far beyond its share at a busy service would be refused at idle engines of others.
 
     Parameters
     ----------
     window_ms, started_ms
-        As of `WorkspaceShares`.
+        As in `WorkspaceShares`.
     """
 
     def __init__(self, window_ms: float, started_ms: float = float("-inf")) -> None:
@@ -25,11 +25,11 @@
         self._shares: dict[str, WorkspaceShares] = {}
 
     def of(self, service: str) -> WorkspaceShares:
-        """Shares at one service."""
+        """Shares at one service, created on first use."""
         if service not in self._shares:
             self._shares[service] = WorkspaceShares(self._window_ms, self._started_ms)
         return self._shares[service]
 
     def keep(self, services: Collection[str]) -> None:
-        """Forget all services but these."""
+        """Drop all services except these."""
         self._shares = {name: self._shares[name] for name in self._shares if name in services}
--- a/packages/core/src/tamarack_core/service_times.py
+++ b/packages/core/src/tamarack_core/service_times.py
@@ -1,57 +1,57 @@
-"""How long requests of one service are expected to take at the most, by those that have ended."""
+"""Upper estimate of the duration of a service's requests, learned from finished ones."""
 
 from __future__ import annotations
 
 from collections import deque
 
 WINDOW_MS = 20_000.0
-"""Milliseconds for which a reading counts: some of the slowest are among those of so long."""
+"""Length of the sliding window in milliseconds: long enough to contain some of the slowest
+requests."""
 
 MOST_READINGS = 400
-"""Readings that are kept at the most; some 20 requests end in a second of a busy router."""
+"""Maximum number of samples; a busy router finishes some 20 requests a second."""
 
 LEAST_READINGS = 8
-"""Readings below which nothing counts as learned: the largest of a few is seldom near the
-slowest."""
+"""Minimum number of samples for an estimate: the largest of a few is seldom near the slowest."""
 
 STREAM_PART = 0.95
-"""Part of the readings that a stream is taken to stay below: with the largest in its place, many
-more streams that would have ended in time are refused."""
+"""Quantile used for streams: with the maximum instead, many more streams are refused that would
+have finished in time."""
 
 LEAST_TOKENS = 30
-"""Streams expected to be shorter count as so long: their time is made of single pauses, while the
-engine reads a prompt, more than of their tokens."""
+"""Minimum length in tokens at which a stream is counted: the duration of a shorter one depends on
+pauses during the engine's prefills more than on its tokens."""
 
 MARGIN = 1.25
-"""Times the readings that a request may take: engines slow down while it runs."""
+"""Safety factor on the estimate: engines may slow down while a request runs."""
 
 
 class RecentReadings:
-    """Readings of the last seconds."""
+    """Sliding window of samples."""
 
     def __init__(self) -> None:
-        self._readings: deque[tuple[float, float]] = deque(maxlen=MOST_READINGS)
+        self._samples: deque[tuple[float, float]] = deque(maxlen=MOST_READINGS)
 
     def note(self, reading: float, now_ms: float) -> None:
-        """Take in a reading."""
-        self._readings.append((now_ms, reading))
+        """Add a sample."""
+        self._samples.append((now_ms, reading))
 
     def quantile(self, part: float, now_ms: float) -> float | None:
-        """The reading that `part` of them stay below (1: the largest); None where few are known."""
-        while self._readings and now_ms - self._readings[0][0] > WINDOW_MS:
-            self._readings.popleft()
-        if len(self._readings) < LEAST_READINGS:
+        """Quantile `part` of the samples (1: the maximum); None with too few samples."""
+        while self._samples and now_ms - self._samples[0][0] > WINDOW_MS:
+            self._samples.popleft()
+        if len(self._samples) < LEAST_READINGS:
             return None
-        ordered = sorted(reading for _, reading in self._readings)
+        ordered = sorted(reading for _, reading in self._samples)
         return ordered[min(len(ordered) - 1, int(len(ordered) * part))]
 
 
 class ServiceTimes:
-    """Times of one service's answers and streams.
+    """Durations of one service's answers and streams.
 
-    Streams are measured by the tokens that were expected of them. A limit that a caller sets is
-    several times what its stream comes to, and an estimate is often exceeded; what a token takes
-    and how far estimates are exceeded are learned as one.
+    Durations of streams are divided by their expected tokens. A limit set by a caller is several
+    times the actual length, and an estimate is often exceeded; the time per token and the error of
+    the estimates are learned together.
     """
 
     def __init__(self) -> None:
@@ -59,21 +59,21 @@
         self._token_ms = RecentReadings()
 
     def answered(self, took_ms: float, now_ms: float) -> None:
-        """Take in a plain answer."""
+        """Record the duration of a plain answer."""
         self._answer_ms.note(took_ms, now_ms)
 
     def streamed(self, took_ms: float, expected_tokens: int, now_ms: float) -> None:
-        """Take in a stream that ended: its time from the first event on."""
+        """Record a finished stream: its duration from the first event on."""
         self._token_ms.note(took_ms / max(LEAST_TOKENS, expected_tokens), now_ms)
 
     def longest_answer_ms(self, left_ms: float, now_ms: float) -> float:
-        """Longest time that a plain answer is expected to take.
+        """Longest expected duration of a plain answer.
 
         Parameters
         ----------
         left_ms
-            Time that the request has left by its own limit, at which it ends in any case; where
-            nothing is learned, the bound.
+            Remaining time of the request, after which it ends in any case; the result without
+            enough samples.
         """
         largest_ms = self._answer_ms.quantile(1.0, now_ms)
         return left_ms if largest_ms is None else min(left_ms, MARGIN * largest_ms)
@@ -81,16 +81,16 @@
     def longest_stream_ms(
         self, first_token_ms: float, expected_tokens: int, left_ms: float, now_ms: float
     ) -> float:
-        """Longest time that a stream is expected to take.
+        """Longest expected duration of a stream.
 
         Parameters
         ----------
         first_token_ms
             Predicted time to its first token.
         expected_tokens
-            Tokens that it is expected to generate.
+            Expected number of generated tokens.
         left_ms
-            As for an answer.
+            As in `longest_answer_ms`.
         """
         token_ms = self._token_ms.quantile(STREAM_PART, now_ms)
         if token_ms is None:
