--- a/tests/crashing_pool.py
+++ b/tests/crashing_pool.py
@@ -1,4 +1,4 @@
-"""A pool of engines that some requests end, and that come back as other lives."""
+"""A pool of engines that crash on certain requests and are replaced by new incarnations."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class CrashingPool:
-    """Engines of one service, each replaced some time after a request has ended it.
+    """Engines of one service, each replaced some time after a request has crashed it.
 
     Parameters
     ----------
     fatal
-        Bodies of requests that end whoever runs them.
+        Bodies of requests that crash any engine that runs them.
     back_s
-        Seconds from an end until another life is there; the entry of the former one is gone then.
+        Seconds from a crash until a new engine has replaced the entry of the former one.
     script
         How all other requests are answered.
     """
@@ -70,20 +70,20 @@
         await self._stack.aclose()
 
     def serve(self, fleet: Fleet) -> None:
-        """Write the entries of later lives to a fleet's store."""
+        """Write the entries of replacement engines to a fleet's store."""
         self._store = fleet.store
 
     def ends(self, body: bytes) -> int:
-        """How many engines a request has ended, or reached at least."""
+        """Number of engines that a request has reached, crashed or not."""
         return sum(arrival.body == body for arrival in self.arrivals)
 
     def late(self, body: bytes, contact_s: float) -> int:
-        """How often a request reached engines later than a time after it had ended the third."""
+        """How often a request reached engines later than `contact_s` after its third arrival."""
         times = [arrival.at_s for arrival in self.arrivals if arrival.body == body]
         return sum(at_s > times[2] + contact_s for at_s in times[3:]) if len(times) > 3 else 0
 
     def arrived(self, body: bytes) -> None:
-        """Take in that a fatal request has reached an engine."""
+        """Record that a fatal request has reached an engine."""
         self.arrivals.append(Arrival(body, time.monotonic()))
 
     def _engine(self) -> PlatformWorker:
--- a/tests/share_simulation.py
+++ b/tests/share_simulation.py
@@ -1,7 +1,7 @@
-"""Many routers and engines on a held clock, to see what workspaces get that all ask too much.
+"""Simulation of many routers and engines that serve workspaces with excess demand.
 
-Routers decide as in production: each with its own counts of shares and models of engines, told to
-the others with a delay. Engines read prompts in order of arrival and keep parts.
+Routers decide as in production: each has its own shares and engine models, and reports to the
+others with a delay. Engines prefill prompts in order of arrival and cache prefix blocks.
 """
 
 from __future__ import annotations
@@ -26,22 +26,22 @@
 WINDOW_MS = 4_000.0
 AIM_MS, DEADLINE_MS = 1_000.0, 10_000.0
 ENGINE_TOKENS = 1_500_000
-"""Memory of an engine: large enough that parts are read again only where requests are sent on to
-an engine without them."""
+"""KV memory of an engine in tokens: large enough that blocks are recomputed only if a request goes
+to an engine without them."""
 
 RETURNS = 2
-"""Times that a refused caller comes back."""
+"""Number of retries of a refused request."""
 
 
 class Asks(NamedTuple):
-    """What a workspace asks for.
+    """Demand of a workspace.
 
     Attributes
     ----------
     rate
-        Tokens a second, a token generated counted twice.
+        Tokens per second, each generated token counted twice.
     parts
-        Shared parts that its requests begin with.
+        Number of shared prefix blocks, one of which begins each request.
     """
 
     rate: float
@@ -49,18 +49,18 @@
 
 
 class Scenario(NamedTuple):
-    """What is played.
+    """Parameters of a simulation.
 
     Attributes
     ----------
     tokens_per_s
-        The throughput that the configuration names.
+        Configured throughput.
     restarted
-        Routers that start anew at `restart_ms` and know nothing then.
+        Number of routers that restart at `restart_ms` without shares.
     scattered
-        Whether parts lie at the engines that read them; otherwise all engines keep all.
+        Whether only engines that prefilled a block cache it; otherwise all cache all blocks.
     tell_ms
-        Time for which a router gathers what it tells the others.
+        Interval in milliseconds at which a router reports to the others.
     """
 
     workspaces: dict[str, Asks]
@@ -76,10 +76,10 @@
 
 
 class Outcome(NamedTuple):
-    """Tokens by workspace from one second on, and how the engines were used.
+    """Tokens by workspace in the measured period, and the utilization of the engines.
 
-    `served` are tokens of requests whose first token came before their deadline, `late` those of
-    them that came past the aim. `by_free` were let in only because an engine was free.
+    `served` counts requests whose first token came before their deadline, `late` those of them that
+    missed the latency target. `by_free` counts requests admitted only because an engine was idle.
     """
 
     asked: dict[str, float]
@@ -90,32 +90,32 @@
     by_free: dict[str, float]
 
     def fairness(self, workspaces: list[str]) -> float:
-        """Least part that one of these got of what it asked, or the best got if that is less."""
+        """Minimum of service relative to the demand or the best service, whichever is lower."""
         best = max(self.served.values())
         return min(self.served.get(name, 0.0) / min(self.asked[name], best) for name in workspaces)
 
 
 class _Engine:
-    """A real engine: what it keeps is a model's, driven by what it reads."""
+    """A simulated engine; an engine model serves as its prefix cache."""
 
     def __init__(self) -> None:
-        self.keeps = EngineModel(memory_tokens=ENGINE_TOKENS)
+        self.cache = EngineModel(memory_tokens=ENGINE_TOKENS)
         self.free_ms = 0.0
         self.busy_ms = 0.0
         self.read = 0.0
 
     def take(self, prompt: Prompt, now_ms: float) -> float:
-        """Read a prompt; returns when its first token comes."""
-        reading_ms = self.keeps.reading_ms(prompt)
-        self.read += self.keeps.unread_tokens(prompt)
-        self.keeps.keep(prompt.parts)
+        """Prefill a prompt; returns the time of its first token."""
+        reading_ms = self.cache.reading_ms(prompt)
+        self.read += self.cache.unread_tokens(prompt)
+        self.cache.keep(prompt.parts)
         self.busy_ms += reading_ms
         self.free_ms = max(now_ms, self.free_ms) + reading_ms
         return self.free_ms + FIRST_TOKEN_MS
 
 
 class _Router:
-    """One router's beliefs and what it has to tell."""
+    """Local state of one router and its pending reports."""
 
     def __init__(self, names: list[str], now_ms: float) -> None:
         self.shares = WorkspaceShares(WINDOW_MS, now_ms)
@@ -136,7 +136,7 @@
 
 
 class Simulation:
-    """Plays one scenario; seconds before `from_ms` only warm it up."""
+    """Runs one scenario; the time before `from_ms` is its warm-up."""
 
     def __init__(self, scenario: Scenario, *, from_ms: float, until_ms: float) -> None:
         self._scenario = scenario
@@ -156,13 +156,13 @@
         self._now_ms = 0.0
 
     def play(self) -> Outcome:
-        """Play to the end."""
+        """Run the simulation to its end."""
         scenario = self._scenario
-        self._keep_parts()
+        self._fill_caches()
         for name in scenario.workspaces:
             self._at(0.0, self._arrive, name)
         for number in range(scenario.routers):
-            self._at(self._random.uniform(0.0, scenario.tell_ms), self._tell, number)
+            self._at(self._random.uniform(0.0, scenario.tell_ms), self._report, number)
         self._at(scenario.restart_ms, self._restart)
         while self._events and self._events[0][0] < scenario.length_ms:
             self._now_ms, _, act, arguments = heapq.heappop(self._events)
@@ -189,21 +189,21 @@
         )
         return [PromptPart(f"{workspace}/{number}", size) for number, size in enumerate(sizes)]
 
-    def _keep_parts(self) -> None:
-        """Each part lies at one engine when the play begins, or at all; all routers know."""
+    def _fill_caches(self) -> None:
+        """Cache each block at one engine, or at all, before the start; all routers know of it."""
         for parts in self._parts.values():
             for number, part in enumerate(parts):
                 kept = [self._random.choice(self._names)] if self._scenario.scattered else []
                 for name in kept or self._names:
-                    told = PromptPart(part.key, part.tokens if self._scenario.scattered else 1)
-                    parts[number] = told
-                    self._engines[name].keeps.keep((told,))
+                    block = PromptPart(part.key, part.tokens if self._scenario.scattered else 1)
+                    parts[number] = block
+                    self._engines[name].cache.keep((block,))
                     for router in self._routers:
-                        router.models[name].keep((told,))
+                        router.models[name].keep((block,))
 
     def _prompt(self, workspace: str, name: str) -> Prompt:
         parts = self._parts[workspace]
-        # Some parts are asked for more often: the first ones about twice as often as the last.
+        # Some blocks are more popular: the first ones about twice as often as the last.
         shared = parts[int(len(parts) * self._random.random() ** 1.4)]
         own = min(30_000, int(self._random.lognormvariate(7.6, 1.1)))
         tokens_in = shared.tokens + own
@@ -228,12 +228,12 @@
         router.tell(lambda other, now_ms: other.shares.ask(workspace, charge, now_ms))
         self._decide(router, request, self._now_ms)
 
-    def _decide(self, router: _Router, request: _Request, came_ms: float) -> None:
+    def _decide(self, router: _Router, request: _Request, received_ms: float) -> None:
         now_ms = self._now_ms
         left_ms = request.arrived_ms + DEADLINE_MS - now_ms
         draw = self._random.random()
         returned = request.returns > 0
-        terms = Terms(AIM_MS, AIM_MS, now_ms - came_ms, left_ms, returned, draw)
+        terms = Terms(AIM_MS, AIM_MS, now_ms - received_ms, left_ms, returned, draw)
         rate = self._scenario.tokens_per_s
         position = router.shares.position(request.workspace, rate, now_ms)
         engines = Engines(self._endpoints, router.models, router.records)
@@ -245,7 +245,7 @@
                 self._by_free[request.workspace] += request.prompt.charge
             self._send(router, request, placement.choice.endpoint.name)
         elif decision.verdict is Admission.HELD:
-            self._at(now_ms + decision.wait_ms, self._decide, router, request, came_ms)
+            self._at(now_ms + decision.wait_ms, self._decide, router, request, received_ms)
         elif request.returns < RETURNS:
             again = request._replace(returns=request.returns + 1)
             self._at(now_ms + decision.wait_ms, self._ask, again)
@@ -259,12 +259,12 @@
         reading_ms = model.sent(request.name, prompt, now_ms)
         router.shares.serve(request.workspace, prompt.charge, now_ms)
 
-        def hear(other: _Router, at_ms: float) -> None:
+        def apply(other: _Router, at_ms: float) -> None:
             other.models[engine].sent_elsewhere(reading_ms, at_ms)
             other.models[engine].keep_named(parts, at_ms)
             other.shares.serve(request.workspace, prompt.charge, at_ms)
 
-        router.tell(hear)
+        router.tell(apply)
         begins_ms = self._engines[engine].take(prompt, now_ms)
         self._at(begins_ms, self._begin, router, request, engine)
 
@@ -273,10 +273,10 @@
         model.first_event(request.name, now_ms)
         wait_ms, pace = model.wait_ms(now_ms), model.pace(now_ms)
 
-        def hear(other: _Router, at_ms: float) -> None:
+        def apply(other: _Router, at_ms: float) -> None:
             other.models[engine].seen_elsewhere(wait_ms, pace, at_ms)
 
-        router.tell(hear)
+        router.tell(apply)
         took_ms = now_ms - request.arrived_ms
         if self._counted(now_ms) and took_ms <= DEADLINE_MS:
             self._served[request.workspace] += request.prompt.charge
@@ -285,24 +285,24 @@
 
     # routers
 
-    def _tell(self, number: int) -> None:
+    def _report(self, number: int) -> None:
         router = self._routers[number]
         news, router.news = router.news, []
         for other in range(len(self._routers)):
             if news and other != number:
                 delay_ms = self._random.uniform(20.0, 100.0)
-                self._at(self._now_ms + delay_ms, self._hear, other, news)
-        self._at(self._now_ms + self._scenario.tell_ms, self._tell, number)
+                self._at(self._now_ms + delay_ms, self._receive, other, news)
+        self._at(self._now_ms + self._scenario.tell_ms, self._report, number)
 
-    def _hear(self, number: int, news: list[Callable[[_Router, float], None]]) -> None:
-        for hear in news:
-            hear(self._routers[number], self._now_ms)
+    def _receive(self, number: int, news: list[Callable[[_Router, float], None]]) -> None:
+        for apply in news:
+            apply(self._routers[number], self._now_ms)
 
     def _restart(self) -> None:
         for number in range(self._scenario.restarted):
             old = self._routers[number]
             fresh = _Router(self._names, self._now_ms)
-            # What engines keep is asked of them as a router starts; so others' models will do.
+            # A starting router queries the engines' caches, so it may copy the former models.
             fresh.models = copy.deepcopy(old.models)
             self._routers[number] = fresh
             fresh.news = old.news
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""A router with more callers than its processor bears."""
+"""Concurrency limit of a router with more callers than its processor can handle."""
 
 from __future__ import annotations
 
@@ -26,31 +26,31 @@
 from tamarack_standins.platform_worker import PlatformWorker, Script
 
 
-def late(running: int) -> ConcurrencyLimit:
-    """A limit that was cut at the time zero, with so many requests in progress."""
+def decreased_limit(running: int) -> ConcurrencyLimit:
+    """A limit that was decreased at time zero with `running` requests in progress."""
     limit = ConcurrencyLimit()
     for _ in range(LATE_SAMPLES):
         limit.observe(HIGH_MS + 1.0, running, 0.0)
     return limit
 
 
-def test_one_late_sample_cuts_nothing() -> None:
-    """A router that was stopped for seconds, or ran a long callback, takes what it took before."""
+def test_one_late_sample_does_not_decrease_the_limit() -> None:
+    """A single pause of the process or a long callback does not decrease the limit."""
     limit = ConcurrencyLimit()
     for number in range(100):
         limit.observe(4_000.0 if number % 2 else 0.0, 10, CUT_EACH_MS * number)
     assert limit.most == math.inf
 
 
-def test_a_loop_in_time_takes_whatever_comes() -> None:
+def test_there_is_no_limit_without_event_loop_lag() -> None:
     limit = ConcurrencyLimit()
     for number in range(100):
         limit.observe(LOW_MS - 1.0, 10 * number, SAMPLE_MS * number)
     assert limit.most == math.inf
 
 
-def test_the_limit_falls_while_the_loop_is_late_and_not_below_the_least() -> None:
-    limit = late(200)
+def test_the_limit_falls_with_event_loop_lag_to_its_lower_bound() -> None:
+    limit = decreased_limit(200)
     assert limit.most == CUT * 200
     limit.observe(HIGH_MS + 1.0, 200, CUT_EACH_MS - 1.0)
     assert limit.most == CUT * 200
@@ -60,15 +60,15 @@
 
 
 def test_the_limit_grows_only_while_it_is_reached() -> None:
-    limit = late(100)
+    limit = decreased_limit(100)
     limit.observe(0.0, 10, SAMPLE_MS)
     assert limit.most == CUT * 100
     limit.observe(0.0, 80, 2 * SAMPLE_MS)
     assert limit.most == CUT * 100 + GROWTH
 
 
-def test_a_quota_of_half_a_core_is_no_sign_of_too_much_work() -> None:
-    """A process that is stopped for 48 ms in each 100 keeps what it takes."""
+def test_a_cpu_quota_of_half_a_core_does_not_decrease_the_limit() -> None:
+    """A process that is paused for 48 ms in each 100 ms keeps its limit."""
     limit = ConcurrencyLimit()
     for number in range(1_000):
         limit.observe(48.0 if number % 2 else 0.0, 100, SAMPLE_MS * number)
@@ -78,15 +78,15 @@
 STREAM_MS = 2_000.0
 EVENT_EACH_MS = 40.0
 PLACING_MS, EVENT_MS, REFUSING_MS = 1.0, 0.14, 0.3
-"""What a router with half a core needs for a new stream, one of its events, and a refusal."""
+"""Processing times in milliseconds at half a core, for a new stream, an event and a refusal."""
 
 ASKED_PER_S = 700
 READ_WITHIN_MS = 1_000.0
-"""Time after which callers give up that were not read."""
+"""Milliseconds after which callers give up if their request was not read."""
 
 
-def waits(limit: ConcurrencyLimit | None, seconds: float) -> list[float]:
-    """Milliseconds until callers are read that keep to one router, by a simulated event loop."""
+def read_delays(limit: ConcurrencyLimit | None, seconds: float) -> list[float]:
+    """Milliseconds until each caller of one router is read, in a simulated event loop."""
     now_ms, read = 0.0, []
     next_ms, sample_ms = 0.0, SAMPLE_MS
     queue: deque[float] = deque()
@@ -105,7 +105,7 @@
                 streams.append(now_ms + STREAM_MS)
         took_ms = max(1.0, took_ms)
         now_ms += took_ms
-        # Events of one stream that come within a round are read at once.
+        # Events of one stream that arrive within an iteration are read together.
         events = len(streams) * min(1.0, took_ms / EVENT_EACH_MS)
         while streams and streams[0] <= now_ms:
             streams.popleft()
@@ -116,31 +116,29 @@
     return read
 
 
-def test_callers_that_keep_to_one_router_are_read_in_time() -> None:
-    """Symptom: callers of one router of 73 find no connection, or are not read before they leave.
+def test_callers_of_an_overloaded_router_are_read_in_time() -> None:
+    """Failure: callers of an overloaded router cannot connect, or are not read before they give up.
 
-    Sequence: the callers of the largest workspace keep to one address, that of a router with half
-    a core. It takes a few hundred streams at a time, as the engines have room. Their events take
-    all of its processor, and callers that connect wait behind them. Cause: nothing bounded what it
-    took but a switch at a lag of 120 ms, twice, that was thrown back as soon as it helped.
-    Evidence: rounds of the loop of 100 to 250 ms, 32 new connections accepted in each, 64 open ones
-    unread; of 48,000 tries of a day 6,272 were not read in time and 4,591 found no connection, with
-    the limit 97 and 22.
+    All callers of the largest workspace use one router with half a core. The engines have room for
+    a few hundred streams, whose events take all of its processor, and new connections wait behind
+    them: loop iterations took 100 to 250 ms and accepted 32 connections each, with 64 unread. An
+    overload switch at a lag of 120 ms alone is reset as soon as it helps. Of 48,000 attempts 6,272
+    were not read in time and 4,591 found no connection, with the limit 97 and 22.
     """
-    without = waits(None, 20.0)
+    without = read_delays(None, 20.0)
     assert sum(wait > READ_WITHIN_MS for wait in without) > 0.5 * len(without)
-    limited = waits(ConcurrencyLimit(), 20.0)
+    limited = read_delays(ConcurrencyLimit(), 20.0)
     assert sum(wait > READ_WITHIN_MS for wait in limited) < 0.01 * len(limited)
     assert len(limited) > 0.95 * 20 * ASKED_PER_S
 
 
-def small_answers(flood: int, *, seconds: float) -> tuple[int, int, int]:
-    """How many requests of a small workspace are taken of how many, beside a flood; most at once.
+def simulate_small_workspace(flood: int, *, seconds: float) -> tuple[int, int, int]:
+    """Admitted and total requests of a small workspace beside a large one; peak in progress.
 
-    The flood has `flood` callers at a time, the small one two; each asks again at once, and a
-    request takes a tenth of a second.
+    The large workspace has `flood` concurrent callers, the small one two; each sends its next
+    request at once, and a request takes a tenth of a second.
     """
-    limit, draw = late(50), random.Random(3)
+    limit, draw = decreased_limit(50), random.Random(3)
     running: list[tuple[float, str]] = []
     asked = taken = most = 0
     for now_ms in range(0, int(seconds * 1_000), 5):
@@ -159,25 +157,25 @@
     return taken, asked, most
 
 
-def test_a_small_workspace_is_taken_beside_one_that_fills_the_router() -> None:
-    """Failure: a full router refuses whoever comes, and mostly those who are not what fills it."""
-    taken, asked, most = small_answers(400, seconds=5.0)
+def test_a_small_workspace_is_admitted_beside_one_that_fills_the_router() -> None:
+    """Failure: a full router refuses all workspaces, even those that do not fill it."""
+    taken, asked, most = simulate_small_workspace(400, seconds=5.0)
     assert taken >= 0.9 * asked
-    assert most <= late(50).most + 2
+    assert most <= decreased_limit(50).most + 2
 
 
-def test_many_workspaces_with_little_each_do_not_undo_the_limit() -> None:
-    """Failure: a router with thousands of workspaces takes a request of each, and falls behind."""
-    limit, running = late(50), 0
+def test_many_small_workspaces_do_not_exceed_the_limit() -> None:
+    """Failure: a router with thousands of workspaces admits a request of each and is overloaded."""
+    limit, running = decreased_limit(50), 0
     while limit.takes(0, running, running + 1):
         running += 1
     assert limit.most <= running <= OVER * limit.most
 
 
-def test_a_full_router_takes_the_request_of_a_workspace_that_has_none_there(
+def test_a_full_router_admits_a_workspace_without_requests_in_progress(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Failure: who shares a router with a large workspace is refused as often as that."""
+    """Failure: a workspace that shares a router with a large one is refused equally often."""
 
     async def story() -> None:
         engine = PlatformWorker("e1", Script(events=3))
@@ -204,7 +202,7 @@
     play(story())
 
 
-def test_beyond_the_limit_a_request_is_refused_at_once_and_not_run(
+def test_a_request_beyond_the_limit_is_refused_at_once_and_not_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def story() -> None:
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -1,4 +1,4 @@
-"""What workspaces get that all ask for more than is served, over many routers and engines."""
+"""Fair shares of workspaces whose demand exceeds the capacity, with many routers and engines."""
 
 from __future__ import annotations
 
@@ -17,12 +17,11 @@
 SMALL = {f"small-{number}": Asks(40_000.0, parts=5) for number in range(5)}
 
 NOMINAL = 400_000.0
-"""Tokens a second that the configuration names: a fifth of what the engines serve when they find
-most prompts kept."""
+"""Configured tokens per second: a fifth of what the engines serve with a high cache hit rate."""
 
 
 def play(seed: int, *, restarted: int = 0) -> Outcome:
-    """Six seconds after four to warm up; routers start anew two seconds into them."""
+    """Simulate six seconds after a warm-up of four; routers restart two seconds into them."""
     scenario = Scenario(
         {**HEAVY, **SMALL},
         NOMINAL,
@@ -37,31 +36,29 @@
 
 
 @pytest.mark.parametrize(("seed", "restarted"), [(1, 0), (2, 0), (1, 2)])
-def test_no_workspace_gets_less_than_half_of_what_another_gets(seed: int, restarted: int) -> None:
-    """Symptom: one workspace is refused all through six seconds; another gets over twice as much.
-
-    Sequence: four workspaces ask for several times what engines serve, one of them for most. All
-    have had several times the share that the configuration names. Cause: the bound on the queue
-    fell with what each had beyond that share, down to the same least bound for all four; among
-    many engines some queue is always shorter than that, so that who asks most is let in most.
-    Evidence: in one such second the four were refused with standings of 1.6 to 6.5, all `beyond
-    its share`; the one with 5 got 9.2 million tokens of six seconds, the one with 2 got 4.3 of
-    the 17.9 that it asked for, while a quarter of the engines got a third of the mean number of
-    requests.
+def test_no_workspace_gets_less_than_half_of_anothers_service(seed: int, restarted: int) -> None:
+    """Failure: one workspace is refused for six seconds, while another gets over twice as much.
+
+    Four workspaces, one with the highest demand, ask for several times the capacity and have
+    received several times their configured share. If the bound on the queue falls with the excess
+    over that share down to one minimum for all four, the highest demand is admitted most, because
+    among many engines some queue is always shorter than the minimum. With standings of 1.6 to 6.5
+    all four were refused as `beyond its share`: the one at 5 got 9.2 million tokens in six seconds,
+    the one at 2 got 4.3 million of 17.9 million requested, while a quarter of the engines got a
+    third of the mean number of requests.
     """
     outcome = play(seed, restarted=restarted)
     assert outcome.fairness(list(HEAVY)) >= 0.5
     assert outcome.fairness(list(SMALL)) >= 0.5
 
 
-def test_little_is_refused_while_engines_have_nothing_to_do() -> None:
-    """Symptom: callers are refused as beyond their shares, and many engines stand idle.
+def test_few_requests_are_refused_while_engines_are_idle() -> None:
+    """Failure: callers are refused as beyond their shares while many engines are idle.
 
-    Sequence: three workspaces together ask for about what the engines serve, each for more than
-    the share that the configuration names. Cause: the queue that each may find fell with what it
-    had beyond that share, whoever waited; and whether an engine was free was never asked.
-    Evidence: of 13 refusals in two routers' logs nine were decided while an engine's queue was
-    under 5 ms; the one chosen had 294 ms on the median, and 139 were allowed.
+    Three workspaces together ask for about the capacity, each for more than its configured share.
+    The bound on the queue falls with the excess over that share, even if no other workspace waits
+    and engines are idle. Of 13 refusals in two routers' logs nine occurred while the queue of some
+    engine was below 5 ms; the median queue of the chosen engine was 294 ms, with 139 ms allowed.
     """
     workspaces = {"a": Asks(1e6), "b": Asks(8e5), "c": Asks(3e5), **SMALL}
     parts = []
@@ -71,19 +68,19 @@
         assert played.fairness(["a", "b", "c"]) >= 0.75
         assert played.fairness(list(SMALL)) >= 0.65
         parts.append(sum(played.served.values()) / sum(played.asked.values()))
-    # 0.73 is what was served before; the engines had room for all of it.
+    # It was 0.73 with the failure, although the engines had capacity for all requests.
     assert sum(parts) / len(parts) >= 0.82
 
 
 MANY_ENGINES = 78
 RATES = (3.7, 1.8, 1.5, 1.2, 1.0, 0.85, 0.73, 0.6, 0.5, 0.37, 0.37, 0.3)
-"""Million tokens a second that twelve workspaces ask for; together 1.7 times what is served."""
+"""Demand of twelve workspaces in million tokens per second; in total 1.7 times the capacity."""
 
 
 @pytest.mark.parametrize("tell_ms", [20.0, 100.0])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_among_many_engines_who_asks_most_does_not_get_most(seed: int, tell_ms: float) -> None:
-    """Failure: one of many engines is always free, and whoever asks most meets it most often."""
+def test_shares_are_fair_among_many_engines(seed: int, tell_ms: float) -> None:
+    """Failure: of many engines one is always idle, and the highest demand finds it most often."""
     large = {f"large-{number}": Asks(rate * 1e6) for number, rate in enumerate(RATES)}
     small = {f"small-{number}": Asks(40_000.0, parts=3) for number in range(50)}
     nominal = NOMINAL * MANY_ENGINES / 16
@@ -104,7 +101,7 @@
 
 
 class Queueing:
-    """Two engines and one router, without kept prompts: all that is left is whom it lets in."""
+    """Two engines and one router without prefix caches, so that only admission control matters."""
 
     def __init__(self, asks: list[float], nominal: float) -> None:
         self._rates = [part * ENGINES * TOKENS_PER_MS / TOKENS for part in asks]
@@ -116,7 +113,7 @@
         self.asked, self.served = [0.0] * len(asks), [0.0] * len(asks)
 
     def play(self) -> None:
-        """Play to the end."""
+        """Run the simulation to its end."""
         for number in range(len(self._rates)):
             self._plan_arrival(number, 0.0)
         while self._events[0][0] < UNTIL_MS:
@@ -157,29 +154,27 @@
 
 @settings(max_examples=40, derandomize=True, deadline=None)
 @given(st.lists(st.floats(0.05, 3.0), min_size=1, max_size=6), st.floats(0.1, 1.0))
-def test_all_is_used_and_nobody_gets_less_than_half_of_another(
-    asks: list[float], nominal: float
-) -> None:
-    """Workspaces ask for parts of what the engines serve; the configuration names `nominal` of it.
+def test_capacity_is_used_and_shares_are_fair(asks: list[float], nominal: float) -> None:
+    """Failure: a workspace gets less than half of its demand or of another one's service.
 
-    Symptom: one gets less than half of what it asked, or of what another gets if that is less; or
-    engines run out of work while callers are refused.
+    Or engines run out of work while callers are refused. Demands are fractions of the capacity, and
+    `nominal` is the configured throughput as a fraction of it.
     """
     played = Queueing(asks, nominal)
     played.play()
     best = max(played.served)
     for wanted, got in zip(played.asked, played.served, strict=True):
-        # Three requests more or less are a matter of when the six seconds begin.
+        # A tolerance of three requests, for the start of the measured six seconds.
         assert got + 3 * TOKENS >= 0.5 * min(wanted, best)
     capacity = ENGINES * TOKENS_PER_MS * (UNTIL_MS - FROM_MS)
     assert sum(played.served) >= 0.85 * min(capacity, sum(played.asked))
 
 
-def test_no_throughput_named_is_no_fault() -> None:
-    """Symptom: callers get neither an answer nor a close, nor do readers of metrics.
+def test_positions_are_defined_without_a_configured_throughput() -> None:
+    """Failure: callers and metrics requests get no answer, and their connections stay open.
 
-    Sequence: the configuration names no throughput; one workspace has been served and another has
-    asked and had nothing. Cause: a lead was divided by what that one had.
+    Without a configured throughput, one workspace has been served and another has only asked, so
+    that its service, the divisor of the lead, is zero.
     """
     shares = WorkspaceShares(4_000.0, 0.0)
     shares.ask("a", 1_000, 5_000.0)
@@ -189,11 +184,11 @@
 
 
 @pytest.mark.parametrize("part", [1.05, 1.15, 1.25])
-def test_one_that_asks_steadily_is_always_backlogged(part: float) -> None:
-    """Symptom: a workspace with seven times as much is let in as easily, half of the time.
+def test_a_workspace_with_steady_demand_is_always_backlogged(part: float) -> None:
+    """Failure: a workspace with seven times the service of another has no lead half of the time.
 
-    Sequence: the other one asks steadily for a little more than the level. Cause: what it asked in
-    the slices of the last second, which cover 750 ms at times, was held against a whole second.
+    The other one has a steady demand just above the level. Its recent demand comes from slices that
+    sometimes cover only 750 ms, and must not be divided by a whole second.
     """
     shares, now_ms = WorkspaceShares(4_000.0, 0.0), 10_000.0
     leads = []
@@ -208,25 +203,25 @@
     assert min(leads) > 1.5
 
 
-def test_many_workspaces_are_not_looked_at_for_each_request(
+def test_positions_are_not_computed_from_all_workspaces_for_each_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: a router with 6,800 workspaces decides on 50 requests a second at the most.
+    """Failure: a router with 6,800 workspaces decides on at most 50 requests a second.
 
-    Sequence: a tenth of them ask for more than their share; requests come one after the other.
-    Cause: both even parts and the one with least were worked out from all workspaces at each.
+    A tenth of them ask for more than their share. This happens if the equal shares and the
+    least-served workspace are computed from all workspaces for each request.
     """
     shares = WorkspaceShares(4_000.0, 0.0)
     for number in range(6_800):
         shares.count(f"w{number}", 40_000.0 if number % 10 == 0 else 100.0, 50.0, 5_000.0)
     first = shares.position("w0", 1e6, 5_000.0)
-    looks = []
+    calls = []
     asks_now = WorkspaceShares._asks_now
     monkeypatch.setattr(
-        WorkspaceShares, "_asks_now", lambda *told: looks.append(told) or asks_now(*told)
+        WorkspaceShares, "_asks_now", lambda *told: calls.append(told) or asks_now(*told)
     )
     for number in range(100):
         assert shares.position("w0", 1e6, 5_000.0 + number) == first
-    assert not looks
+    assert not calls
     shares.position("w0", 1e6, 6_000.0)
-    assert looks
+    assert calls
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What names a request across its repeats."""
+"""Fingerprints of requests."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 @given(PARTS, PARTS)
-def test_different_requests_have_different_names(first: tuple, second: tuple) -> None:
+def test_different_requests_have_different_fingerprints(first: tuple, second: tuple) -> None:
     same = (first[0] or "", *first[1:]) == (second[0] or "", *second[1:])
     assert (fingerprint(*first) == fingerprint(*second)) == same
 
 
-def test_parts_are_told_apart_by_their_lengths() -> None:
+def test_field_boundaries_change_the_fingerprint() -> None:
     assert fingerprint("a", "b", b"POST", b"/x", b"") != fingerprint("ab", "", b"POST", b"/x", b"")
 
 
-def test_nothing_of_the_request_can_be_read_from_its_name() -> None:
+def test_a_fingerprint_contains_only_hexadecimal_digits() -> None:
     name = fingerprint("shop", "shop.example", b"POST", b"/secret", b"secret")
     assert len(name) == 24
     assert set(name) <= set("0123456789abcdef")
--- a/tests/test_gateway_core.py
+++ b/tests/test_gateway_core.py
@@ -1,4 +1,4 @@
-"""Decisions of the platform's path, on a held clock."""
+"""Routing decisions of the platform's path, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     return [Endpoint(name, "pool", f"{name}:1", "a", 64, False) for name in names]
 
 
-def test_the_longest_prefix_of_the_host_decides() -> None:
+def test_the_route_with_the_longest_prefix_is_used() -> None:
     rules = Ruleset(1, [make_route("/a/"), make_route("/a/b/"), make_route("/")], [], {})
     found = [rules.route_for("h", path) for path in ("/a/b/c", "/a/bc", "/x")]
     assert [route.prefix for route in found if route] == ["/a/b/", "/a/", "/"]
@@ -56,11 +56,11 @@
     assert [route.service_for(draw) for draw in (0.0, 0.89, 0.91)] == ["one", "one", "two"]
 
 
-def test_keys_lapse_by_the_time_at_which_the_confirming_call_was_sent() -> None:
-    """Symptom: a key opens something after its bound.
+def test_keys_expire_by_the_send_time_of_the_confirming_call() -> None:
+    """Failure: a revoked key is accepted after its deadline.
 
-    Sequence: the answer that confirms the configuration is held up for seconds. Cause: the time of
-    the answer was taken for that of the confirmation.
+    The answer that confirms the configuration is delayed for seconds, and the time of the answer is
+    used as that of the confirmation.
     """
     freshness = KeyFreshness(4_500.0)
     assert not freshness.trusted(0.0)
@@ -71,11 +71,11 @@
     assert not freshness.trusted(5_501.0)
 
 
-def test_all_routers_retries_together_stay_within_the_bound() -> None:
-    """Symptom: failing endpoints get every request several times over.
+def test_retries_of_all_routers_stay_within_the_fleet_wide_budget() -> None:
+    """Failure: failing endpoints receive every request several times.
 
-    Sequence: all routers retry at once, one of them cut off from the others. Cause: each took the
-    whole slack, or a larger part of it once it saw fewer routers.
+    All routers retry at once, one of them partitioned from the others. Each must use only its part
+    of the slack, and no larger one when it sees fewer routers.
     """
     allowances = [RetryAllowance(0.2, 50.0, 10_000.0) for _ in range(6)]
     for allowance in allowances:
@@ -90,11 +90,11 @@
     assert allowances[0].take("pool", 12_000.0) is True
 
 
-def test_entries_that_lapse_in_an_outage_are_kept_until_just_after_it() -> None:
-    """Symptom: after an outage of the store no endpoint is left, though all work.
+def test_entries_that_expire_in_an_outage_are_retained_until_shortly_after_it() -> None:
+    """Failure: after an outage of the store no endpoint is left, although all of them work.
 
-    Sequence: entries lapse while endpoints cannot write their heartbeats. Cause: what the list
-    lacked was taken as gone at once.
+    Entries expire while endpoints cannot write their heartbeats, and missing entries are dropped at
+    once.
     """
     book = EndpointBook(kept_ms=1_700.0)
     book.replace(endpoints("e1", "e2"), 0.0, keep_until_ms=-1.0)
@@ -106,11 +106,11 @@
     assert [endpoint.name for endpoint in book.usable("pool")] == ["e1"]
 
 
-def test_an_entry_that_goes_after_an_outage_is_not_kept_beyond_its_return() -> None:
-    """Symptom: an endpoint that left gets new work for more than two seconds.
+def test_retention_ends_a_fixed_time_after_the_recovery_of_the_store() -> None:
+    """Failure: an endpoint that left gets new requests for more than two seconds.
 
-    Sequence: a router regains the store; an endpoint leaves 1.3 s later, without notice. Cause: its
-    entry was kept for the whole time of grace from then on, not from the store's return.
+    An endpoint leaves without notice 1.3 s after the store is available again, and its entry is
+    retained for the full period from then on instead of from the store's recovery.
     """
     book = EndpointBook(kept_ms=1_700.0)
     book.replace(endpoints("e1"), 0.0, keep_until_ms=-1.0)
@@ -128,7 +128,7 @@
     assert book.usable("pool") == []
 
 
-def test_an_entry_that_drains_is_not_kept() -> None:
+def test_a_draining_entry_is_not_retained() -> None:
     book = EndpointBook(kept_ms=1_700.0)
     draining = [endpoint._replace(draining=True) for endpoint in endpoints("e1")]
     book.replace(draining, 0.0, keep_until_ms=-1.0)
@@ -136,7 +136,7 @@
     assert len(book) == 0
 
 
-def test_a_first_event_sets_the_queue_right() -> None:
+def test_a_first_event_corrects_the_predicted_queue() -> None:
     model = EngineModel()
     prompt = make_prompt("s", "a")
     model.sent("r1", prompt, 0.0)
@@ -147,13 +147,13 @@
     assert model.wait_ms(1_000.0) == pytest.approx(alone_ms)
 
 
-def test_a_slow_first_token_does_not_pass_for_a_queue() -> None:
-    """Symptom: requests are refused as if engines had queues that they do not have.
+def test_a_slow_first_token_is_not_mistaken_for_a_queue() -> None:
+    """Failure: requests are refused because of predicted queues that do not exist.
 
-    Sequence: engines deliver a first token 60 ms after they have read the prompt, and read others
-    meanwhile. Cause: what was sent behind a request counted as unread when that request's first
-    event came. Evidence: on 30 such engines a third of what they can read was asked of them, and
-    the shortest queue of all was believed to be 29 ms long on the median of 14,700 refusals.
+    Engines deliver a first token 60 ms after the prefill and prefill other prompts meanwhile, but
+    all prompts sent after a request count as not prefilled at its first event. With 30 such engines
+    at a third of their capacity, the shortest predicted queue was 29 ms in the median of 14,700
+    refusals.
     """
     model = EngineModel()
     short = Prompt(500, 10, (PromptPart("m/short", 500),))
@@ -168,11 +168,11 @@
     assert model.wait_ms(20_060.0 + first_ms) <= behind_ms - 45.0
 
 
-def test_first_events_of_others_keep_the_queue_right() -> None:
-    """Symptom: in a large fleet requests are refused though engines' queues are short.
+def test_first_events_of_other_routers_correct_the_predicted_queue() -> None:
+    """Failure: in a large fleet requests are refused although the engines' queues are short.
 
-    Sequence: others send work to an engine for seconds; this router has no first event from it.
-    Cause: only own first events set the predicted queue right, and what is added up drifts away.
+    Other routers send requests to an engine for seconds, while this router gets no first event from
+    it. If only its own first events correct the predicted queue, the sum of sent work drifts away.
     """
     model = EngineModel()
     for number in range(40):
@@ -185,7 +185,7 @@
     assert model.pace(4_000.0) == pytest.approx(2.0, abs=0.1)
 
 
-def test_a_slow_engine_is_expected_to_be_slow_and_tried_again() -> None:
+def test_a_learned_slowdown_decays() -> None:
     model = EngineModel()
     for number in range(20):
         now_ms = number * 5_000.0
@@ -196,7 +196,7 @@
     assert model.pace(200_000.0) == pytest.approx(1.0, abs=0.01)
 
 
-def test_kept_parts_are_read_once_and_the_oldest_yield() -> None:
+def test_cached_blocks_are_not_recomputed_until_they_are_evicted() -> None:
     model = EngineModel(memory_tokens=50_000)
     first = make_prompt("s", "a")
     model.sent("r1", first, 0.0)
@@ -206,17 +206,17 @@
     assert model.unread_tokens(make_prompt("s", "b")) == 16_000
 
 
-def test_what_an_engine_tells_does_not_put_out_what_was_used_since() -> None:
+def test_blocks_reported_by_an_engine_do_not_evict_more_recent_ones() -> None:
     model = EngineModel(memory_tokens=50_000)
     model.sent("r1", make_prompt("s", "a"), 0.0)
-    told = [PromptPart("m/t", 12_000), PromptPart("m/u", 2_000), PromptPart("m/v", 1_000)]
-    model.keep_older(told)
+    reported = [PromptPart("m/t", 12_000), PromptPart("m/u", 2_000), PromptPart("m/v", 1_000)]
+    model.keep_older(reported)
     assert model.unread_tokens(make_prompt("s", "b")) == 3_000
-    assert model.keeps(told[0])
-    assert not model.keeps(told[2])
+    assert model.keeps(reported[0])
+    assert not model.keeps(reported[2])
 
 
-def test_parts_are_told_once_until_they_may_have_yielded() -> None:
+def test_blocks_are_reported_at_most_once_per_interval() -> None:
     model = EngineModel()
     prompt = make_prompt("s", "a")
     assert [part.key for part in model.parts_to_tell(prompt, 0.0)] == ["m/s"]
@@ -226,11 +226,11 @@
     assert len(model.parts_to_tell(prompt, 6_000.0)) == 1
 
 
-def test_requests_that_share_a_part_go_to_one_engine_until_its_queue_is_long() -> None:
-    """Symptom: a third of all tokens that engines read are parts that another one keeps.
+def test_requests_that_share_a_block_use_one_engine_until_its_queue_is_long() -> None:
+    """Failure: a third of all prefilled tokens are blocks that another engine caches.
 
-    Sequence: routers that have just started place by queues alone. Cause: they know of no kept
-    parts; the home of a part is the same for all, and is assumed to keep it.
+    Routers that have just started know of no cached blocks and place by queues alone. The preferred
+    engine of a block is the same for all routers, and is assumed to cache it.
     """
     engines = endpoints("e1", "e2", "e3")
     records = {engine.name: EndpointRecord() for engine in engines}
@@ -241,31 +241,31 @@
         assert choice is not None
         choices.add(choice.endpoint.name)
     assert len(choices) == 1
-    home = choices.pop()
-    models[home].sent_elsewhere(2_000.0, 0.0)
+    preferred = choices.pop()
+    models[preferred].sent_elsewhere(2_000.0, 0.0)
     spilled = choose_engine(make_prompt("s", "a"), engines, models, records, 0.0)
     assert spilled is not None
-    assert spilled.endpoint.name != home
+    assert spilled.endpoint.name != preferred
 
 
-def test_an_engine_that_has_just_come_takes_no_part_that_another_keeps() -> None:
-    """Symptom: after a crash or a release, engines read parts anew that others keep.
+def test_a_new_engine_gets_no_block_that_another_one_caches() -> None:
+    """Failure: after a crash or a release, engines recompute blocks that others cache.
 
-    Sequence: an engine comes and is the home of a part that another one keeps. Cause: the home
-    counted as keeping the part, too, and requests went there.
+    A new engine is the preferred one of a block that another engine caches. If it is assumed to
+    cache the block, too, requests are sent there.
     """
     old, new = endpoints("e1", "e2"), endpoints("e1", "e2", "e3", "e4", "e5", "e6")
     records = {engine.name: EndpointRecord() for engine in new}
     models = {engine.name: EngineModel() for engine in new}
     for number in range(12):
         prompt = make_prompt(f"s{number}", "a")
-        keeper = choose_engine(prompt, old, models, records, 0.0)
-        assert keeper is not None
-        models[keeper.endpoint.name].keep(prompt.parts[:-1])
-        models[keeper.endpoint.name].sent_elsewhere(20.0, 0.0)
+        caching = choose_engine(prompt, old, models, records, 0.0)
+        assert caching is not None
+        models[caching.endpoint.name].keep(prompt.parts[:-1])
+        models[caching.endpoint.name].sent_elsewhere(20.0, 0.0)
         again = choose_engine(prompt, new, models, records, 0.0)
         assert again is not None
-        assert again.endpoint == keeper.endpoint
+        assert again.endpoint == caching.endpoint
 
 
 def test_a_failing_endpoint_is_avoided_and_tried_again() -> None:
@@ -299,12 +299,12 @@
     return decision(**changes).verdict is Admission.ADMITTED
 
 
-def test_urgent_work_is_not_refused_for_queues_of_patient_work() -> None:
-    """Symptom: the most urgent route is refused five times as often as the most patient one.
+def test_routes_with_long_targets_do_not_fill_queues_for_short_targets() -> None:
+    """Failure: the route with the shortest target is refused five times as often as the longest.
 
-    Sequence: more is asked than engines carry; each route fills their queues as far as its own aim
-    bears. Cause: engines serve in order of arrival, so that the most patient route alone sets how
-    long the queues are.
+    Demand exceeds the capacity, and each route fills the queues up to its own latency target.
+    Engines serve in order of arrival, so the route with the longest target alone determines the
+    length of the queues.
     """
     queue = {"first_token_ms": 560.0, "unavoidable_ms": 60.0}
     assert decide(**queue, aim_ms=800.0)
@@ -312,11 +312,10 @@
     assert decide(first_token_ms=360.0, aim_ms=1_600.0)
 
 
-def test_patient_work_is_held_back_while_its_aim_leaves_time() -> None:
-    """Symptom: callers are refused and wait for their return while engines run out of work.
+def test_a_request_is_queued_at_the_router_while_its_target_allows() -> None:
+    """Failure: callers are refused and wait for their retry while engines run out of work.
 
-    Sequence: a queue is somewhat longer than a request's bound. Cause: the router knew only sending
-    and refusing.
+    A queue is slightly longer than a request's bound, and the router can only send or refuse.
     """
     held = decision(first_token_ms=560.0, aim_ms=1_600.0)
     assert held.verdict is Admission.HELD
@@ -330,16 +329,16 @@
     )
 
 
-def test_work_is_refused_that_would_queue_past_its_aim() -> None:
+def test_a_request_that_would_miss_its_target_is_refused() -> None:
     assert decide()
     assert not decide(first_token_ms=900.0)
     assert not decide(left_ms=400.0)
 
 
-def test_a_request_that_came_back_goes_before_new_work() -> None:
-    """Symptom: callers that come back when they are told to are refused again.
+def test_a_retried_request_has_priority_over_new_ones() -> None:
+    """Failure: callers that retry after the requested delay are refused again.
 
-    Sequence: queues are just too long for new work. Cause: a return is held to the same bound.
+    Queues are just too long for new requests, and retries have the same bound.
     """
     detector = ReturnDetector()
     assert [detector.returned("r", wait_ms) for wait_ms in (8_000.0, 7_900.0, 7_000.0)] == [
@@ -351,15 +350,15 @@
     assert decide(first_token_ms=850.0, returned=True)
 
 
-def test_a_long_prompt_is_not_refused_for_its_own_length() -> None:
+def test_a_long_prompt_is_not_refused_for_its_own_prefill() -> None:
     assert decide(first_token_ms=1_500.0, unavoidable_ms=1_300.0)
 
 
-def test_a_workspace_far_beyond_its_share_leaves_room_for_one_that_is_not() -> None:
-    """Symptom: a workspace gets a third of what it asked beside one that gets four times as much.
+def test_the_bound_falls_with_the_excess_over_the_share() -> None:
+    """Failure: a workspace gets a third of its demand beside one that gets four times as much.
 
-    Sequence: several workspaces ask for more than their shares. Cause: one bound for all who are
-    beyond their share fills the queues with the work of whoever asks most.
+    Several workspaces ask for more than their shares. One bound for all workspaces beyond their
+    share fills the queues with requests of the one with the highest demand.
     """
     assert decide(standing=1.2)
     assert not decide(standing=4.0)
@@ -367,12 +366,12 @@
     assert not decide(first_token_ms=200.0, standing=3.0)
 
 
-def test_a_flood_gets_no_more_than_a_workspace_that_floods_less() -> None:
-    """Symptom: of two workspaces beyond their shares one gets four times less than the other.
+def test_the_highest_demand_gets_no_more_than_another_excessive_one() -> None:
+    """Failure: of two workspaces beyond their shares one gets a quarter of the other's service.
 
-    Sequence: 45 engines, some of whose queues are always short; one workspace has had 7 times its
-    share, the other 2.5 times. Cause: the bounds of both were near the least one, so that both were
-    let in as often, and who asked most got most.
+    Some of 45 engines always have short queues; one workspace received 7 times its share, the other
+    2.5 times. If both bounds are close to the minimum, both are admitted equally often, and the
+    higher demand gets more.
     """
     shares = WorkspaceShares(4_000.0)
     for name, asked, served in (("flood", 9e6, 2.8e6), ("other", 2e6, 1e6), ("small", 1e5, 1e5)):
@@ -391,20 +390,20 @@
 
 
 @pytest.mark.parametrize("queue_ms", [FIRST_TOKEN_MS, 20.0])
-def test_a_free_engine_is_not_for_one_with_twice_as_much_as_a_backlogged_one(
+def test_a_workspace_with_a_lead_does_not_get_idle_engines(
     queue_ms: float,
 ) -> None:
-    """Failure: among many engines one is always free, so that a least bound for all is no bound."""
+    """Failure: with one minimum bound for all, one of many engines is always idle enough for it."""
     queue = {"first_token_ms": 20.0 + queue_ms, "unavoidable_ms": 20.0}
     assert not decide(**queue, standing=3.0, lead=2.0)
     assert decide(**queue, standing=7.0, lead=1.0)
 
 
-def test_a_refusal_tells_the_queue_and_the_bound_that_it_was_decided_by() -> None:
-    """Symptom: a workspace is refused for seconds, and nobody can tell afterwards what for.
+def test_a_refusal_contains_the_queue_and_the_bound() -> None:
+    """Failure: a workspace is refused for seconds and the logs do not show the reason.
 
-    Sequence: many refusals `beyond its share`, each with the standing alone. Cause: neither the
-    bound that followed from standing and lead nor the queue it was held against was told.
+    The refusals are `beyond its share` and show the standing alone, but neither the bound that
+    follows from standing and lead nor the queue that exceeded it.
     """
     refused = decision(first_token_ms=200.0, standing=3.0, lead=2.0)
     assert refused.verdict is Admission.REFUSED
@@ -415,19 +414,19 @@
     assert decision(first_token_ms=90.0).queue_ms == pytest.approx(30.0)
 
 
-def test_a_placement_tells_whether_only_a_free_engine_let_it_in() -> None:
-    """Failure: nobody can tell whether a workspace far ahead is let in despite its lead."""
+def test_an_admission_shows_whether_an_idle_engine_was_the_reason() -> None:
+    """Failure: logs do not show whether a workspace was admitted in spite of its lead."""
     free = decision(first_token_ms=73.0, standing=7.0, lead=1.5)
     assert (free.verdict, free.reason) == (Admission.ADMITTED, FREE_ENGINE)
     timely = decision(first_token_ms=70.0)
     assert (timely.verdict, timely.reason) == (Admission.ADMITTED, "in time")
 
 
-def test_a_router_that_has_just_started_knows_who_is_beyond_the_share() -> None:
-    """Symptom: a fifth of the routers lets in whoever asks most for seconds.
+def test_a_restarted_router_knows_which_workspaces_exceed_their_share() -> None:
+    """Failure: for seconds a fifth of the routers admit every request of the highest demand.
 
-    Sequence: they were killed and start anew while workspaces are far beyond their shares. Cause:
-    what they heard in the first tenths of a second was held against the share of a whole window.
+    They were killed and restart while workspaces are far beyond their shares. If the reports of the
+    first tenths of a second are compared with the share of a whole window, all are within it.
     """
     for started_ms, standing in ((10_000.0, 2.5), (float("-inf"), 0.625)):
         shares = WorkspaceShares(4_000.0, started_ms)
@@ -437,12 +436,12 @@
         assert shares.standing("flood", 2e6, 11_000.0) == pytest.approx(standing)
 
 
-def test_one_that_asks_for_little_holds_back_nobody_who_asks_for_much() -> None:
-    """Symptom: all large workspaces are refused at once, and engines run out of work.
+def test_a_small_workspace_does_not_delay_large_ones() -> None:
+    """Failure: all large workspaces are refused at the same time, and engines run out of work.
 
-    Sequence: a small one asks for somewhat more than its share, and some of its requests wait.
-    Cause: it was the backlogged workspace with least, and all others were far ahead of it. It is
-    let in for having had little of the level instead.
+    A small workspace asks for slightly more than its share, and some of its requests wait. If it
+    counts as the least-served backlogged workspace, all others have a large lead over it. It is
+    admitted because of its low `filled` instead.
     """
     shares = WorkspaceShares(4_000.0)
     for name, asked, served in (("a", 9e6, 2.2e6), ("b", 5e6, 2e6), ("small", 4e5, 3e5)):
@@ -458,12 +457,12 @@
     assert not decide(**queue, **shares.position("b", rate, 0.0)._asdict())
 
 
-def test_one_that_no_longer_asks_holds_back_nobody() -> None:
-    """Symptom: a workspace gets a third of what it asks for; another one gets three times as much.
+def test_a_workspace_without_recent_demand_delays_no_other() -> None:
+    """Failure: a workspace gets a third of its demand; another one gets three times as much.
 
-    Sequence: both ask for more than is served; a third one has, and stopped two seconds ago.
-    Cause: it still counted as backlogged and had least by now, so that the one with little was as
-    far ahead of it as the one with much was, and both were held to the least bound.
+    The demand of both exceeds the capacity; that of a third one ended two seconds ago. If the third
+    still counts as backlogged, it is the least-served one: both others have a large lead over it
+    and get the same minimum bound.
     """
     shares = WorkspaceShares(4_000.0)
     for now_ms in range(0, 4_000, 200):
@@ -477,7 +476,7 @@
     assert shares.lead("much", 100_000.0, 3_900.0) == pytest.approx(2.5)
 
 
-def test_the_workspaces_that_ask_most_are_told_of() -> None:
+def test_the_workspaces_with_the_highest_demand_are_listed() -> None:
     shares = WorkspaceShares(4_000.0)
     for number in range(30):
         shares.ask(f"w{number}", 1_000.0 * number, 0.0)
@@ -489,7 +488,7 @@
     assert shares.largest(3, 10_000.0, 9_000.0) == []
 
 
-def test_shares_are_even_for_those_who_ask_for_more() -> None:
+def test_workspaces_with_excess_demand_get_equal_shares() -> None:
     shares = WorkspaceShares(4_000.0)
     for workspace, tokens in (("small", 1_000.0), ("large", 9_000.0), ("larger", 30_000.0)):
         shares.ask(workspace, tokens, 0.0)
@@ -500,7 +499,7 @@
     assert shares.standing("larger", 5_000.0, 9_000.0) == 0.0
 
 
-def test_events_are_cut_whole_and_their_ids_rise_by_one() -> None:
+def test_events_are_split_and_their_ids_must_be_consecutive() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\ndata: a\n") == []
     assert [event.number for event in splitter.feed(b"\nid: 2\ndata: b\n\nid: 3")] == [1, 2]
--- a/tests/test_gateway_properties.py
+++ b/tests/test_gateway_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the platform path's decisions and framing, over drawn inputs."""
+"""Property-based tests of the platform path's decisions and framing."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tamarack_gateway.event_splitter import EventSplitter
 from tamarack_gateway.http_messages import Request
 
-# Drawn the same each run, so that the verdict is the same.
+# The same inputs in each run, so that the result is reproducible.
 drawn = settings(max_examples=120, derandomize=True, deadline=None)
 
 WINDOW_MS = 10_000.0
@@ -32,7 +32,7 @@
         max_size=300,
     )
 )
-def test_retries_of_all_routers_stay_within_the_bound_in_every_window(
+def test_retries_of_all_routers_stay_within_the_budget_in_every_window(
     steps: list[tuple[int, bool, float]],
 ) -> None:
     routers = [RetryAllowance(0.2, 20.0, WINDOW_MS) for _ in range(4)]
@@ -56,7 +56,7 @@
     st.lists(st.integers(1, 40), min_size=1, max_size=12),
     st.lists(st.integers(1, 30), min_size=1, max_size=60),
 )
-def test_a_stream_is_cut_into_the_same_events_however_it_arrives(
+def test_a_stream_is_split_into_the_same_events_for_any_segmentation(
     sizes: list[int], pieces: list[int]
 ) -> None:
     events = [b"id: %d\ndata: %s\n\n" % (n + 1, b"x" * size) for n, size in enumerate(sizes)]
@@ -77,7 +77,7 @@
     st.integers(13, 80),
     st.sets(st.integers(0, 79)),
 )
-def test_one_router_of_each_failure_domain_relays_whoever_is_lost(
+def test_each_failure_domain_has_one_relay_whichever_routers_fail(
     size: int, lost: set[int]
 ) -> None:
     peers = {f"r{n}": Peer(f"r{n}", f"r{n}:1", f"d{n % 3}") for n in range(size)}
@@ -112,7 +112,7 @@
     st.floats(0.0, 8.0),
     st.booleans(),
 )
-def test_a_longer_queue_never_lets_a_request_in(
+def test_a_longer_queue_never_improves_the_decision(
     shorter_ms: float, more_ms: float, aim_ms: float, standing: float, returned: bool
 ) -> None:
     def verdict(queue_ms: float) -> Admission:
@@ -135,7 +135,7 @@
 
 @drawn
 @given(st.dictionaries(st.integers(0, 30), st.floats(1.0, 50_000.0), min_size=1))
-def test_even_shares_use_the_throughput_and_no_more(asked: dict[int, float]) -> None:
+def test_fair_shares_add_up_to_the_throughput(asked: dict[int, float]) -> None:
     shares = WorkspaceShares(4_000.0)
     for number, tokens in asked.items():
         shares.ask(f"w{number}", tokens, 0.0)
@@ -147,7 +147,7 @@
 
 
 class _Transport:
-    """Takes what a connection writes."""
+    """Transport that records what a connection writes."""
 
     def __init__(self) -> None:
         self.written = b""
@@ -170,7 +170,7 @@
 
 
 async def _requests(data: bytes, cuts: list[int]) -> list[tuple[bytes, bytes]]:
-    """What a connection takes bytes for, when they arrive in pieces."""
+    """Targets and bodies of the requests that a connection parses from `data`, split at `cuts`."""
     found: list[tuple[bytes, bytes]] = []
 
     async def handle(request: Request, caller: CallerConnection) -> None:
@@ -200,7 +200,9 @@
     st.lists(st.sampled_from([REQUEST, CHUNKED]), min_size=1, max_size=4),
     st.lists(st.integers(0, 300), max_size=12),
 )
-def test_requests_are_the_same_however_they_arrive(parts: list[bytes], cuts: list[int]) -> None:
+def test_requests_are_parsed_the_same_for_any_segmentation(
+    parts: list[bytes], cuts: list[int]
+) -> None:
     async def story() -> None:
         expected = [(b"/a", b"abc") if part is REQUEST else (b"/b", b"hi") for part in parts]
         assert await _requests(b"".join(parts), cuts) == expected
@@ -214,25 +216,27 @@
     st.binary(min_size=1, max_size=6),
     st.lists(st.integers(0, 120), max_size=4),
 )
-def test_spoiled_bytes_never_smuggle_a_request(at: int, spoil: bytes, cuts: list[int]) -> None:
-    """Symptom: an endpoint runs a request that no caller sent.
+def test_corrupted_bytes_never_smuggle_a_request(
+    at: int, corruption: bytes, cuts: list[int]
+) -> None:
+    """Failure: request smuggling, an endpoint runs a request that no caller sent.
 
-    Sequence: a caller's body looks like a request, and bytes of the head before it are spoiled.
-    Cause: the body was read as a request of its own.
+    A caller's body looks like a request, and bytes of the head before it are corrupted, so that the
+    body is parsed as a request of its own.
     """
     inner = b"GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n"
     head = b"POST /outer HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % len(inner)
     if at >= len(head) - 4:
         return
-    spoiled = head[:at] + spoil + head[at + len(spoil) :]
-    if b"\r\n\r\n" in spoiled[: len(head) - 4] or b"length" not in spoiled.lower():
-        # The spoiled head itself is a whole one without that length: what follows is no body.
+    corrupted = head[:at] + corruption + head[at + len(corruption) :]
+    if b"\r\n\r\n" in corrupted[: len(head) - 4] or b"length" not in corrupted.lower():
+        # The corrupted head is complete without that length: what follows is not its body.
         return
 
     async def story() -> None:
-        targets = [target for target, _ in await _requests(spoiled + inner, cuts)]
+        targets = [target for target, _ in await _requests(corrupted + inner, cuts)]
         length = b"content-length: %d" % len(inner)
-        if length in spoiled.lower().split(b"\r\n"):
+        if length in corrupted.lower().split(b"\r\n"):
             assert b"/smuggled" not in targets
 
     play(story())
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""What one router does in a fleet of 195, on held beliefs and without sockets."""
+"""Work of one router in a fleet of 195, with fixed local state and without sockets."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 NOW_MS = 10_000.0
 
 
-def test_what_a_relay_passes_on_grows_with_engines_and_not_with_requests() -> None:
-    """Symptom: a day of 195 routers took more processor time than it had; routers were behind.
+def test_relayed_reports_grow_with_engines_and_not_with_requests() -> None:
+    """Failure: 195 routers spend more processor time than they have and their event loops lag.
 
-    Sequence: a thousand requests a second; each router's report of each was passed on to all.
-    Cause: relays put reports together and did not add up what they tell.
+    At a thousand requests a second, relays that concatenate reports instead of summing them forward
+    a report of every request to all routers.
     """
     draw = random.Random(5)
     passed = PlacementSum()
@@ -41,9 +41,9 @@
         outbox.served("s", workspace, 100.0)
         reading[engine] = reading.get(engine, 0.0) + 50.0
         served[workspace] = served.get(workspace, 0) + 100
-        told = outbox.take()
-        assert told is not None
-        passed.add(told)
+        report = outbox.take()
+        assert report is not None
+        passed.add(report)
     whole = passed.take()
     assert whole is not None
     assert {placed.endpoint: placed.reading_ms for placed in whole.placed} == reading
@@ -54,17 +54,17 @@
     assert passed.take() is None
 
 
-def test_the_engine_that_costs_least_of_all_is_chosen_though_few_are_looked_at() -> None:
-    """Symptom: requests go to engines that cost more than others.
+def test_the_engine_with_the_lowest_cost_is_chosen_although_most_are_skipped() -> None:
+    """Failure: requests go to engines with a higher cost than others.
 
-    Sequence: most engines are passed over by what their queue alone costs. Cause: the bound by
-    which they are passed over is above what one of them costs.
+    Most engines are skipped by a lower bound of their cost, based on the queue alone; this happens
+    if the bound exceeds the actual cost of one of them.
     """
     for seed in range(300):
-        _choose_as_if_all_were_looked_at(random.Random(seed))
+        _compare_with_exhaustive_search(random.Random(seed))
 
 
-def _choose_as_if_all_were_looked_at(draw: random.Random) -> None:
+def _compare_with_exhaustive_search(draw: random.Random) -> None:
     names = [f"e{number}" for number in range(ENGINES)]
     endpoints = [Endpoint(name, "s", f"{name}:1", "a", 16, False) for name in names]
     parts = [PromptPart(f"part-{number}", draw.randrange(300, 14_000)) for number in range(6)]
@@ -95,13 +95,13 @@
 ) -> float:
     model, anchor = models[endpoint.name], prompt.anchor
     assert anchor is not None
-    kept = any(models[e.name].keeps(anchor) for e in endpoints)
-    home = None if kept else max(endpoints, key=lambda e: score(anchor.key, e.name))
-    assumed = anchor.tokens if endpoint is home else 0
+    cached = any(models[e.name].keeps(anchor) for e in endpoints)
+    preferred = None if cached else max(endpoints, key=lambda e: score(anchor.key, e.name))
+    assumed = anchor.tokens if endpoint is preferred else 0
     reading_ms = model.reading_ms(prompt, assumed) * model.pace(NOW_MS)
     cost = model.wait_ms(NOW_MS) + READING_WEIGHT * reading_ms + FIRST_TOKEN_MS
     cost += 25.0 * max(0, model.running + model.waiting + 1 - endpoint.slots)
     cost += FAILURE_PENALTY_MS * records[endpoint.name].failures(NOW_MS)
-    if endpoint is not home and model.unread_tokens(prompt) >= prompt.tokens_in:
+    if endpoint is not preferred and model.unread_tokens(prompt) >= prompt.tokens_in:
         cost += AWAY_FROM_HOME_MS
     return cost
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""What a stopping router may take: the decision alone, on a held clock."""
+"""Admission of requests during a router's shutdown: the decision alone, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Stop(NamedTuple):
-    """A request to stop, and what the settings say of it."""
+    """A request to stop and its settings."""
 
     at_ms: float
     grace_ms: float
@@ -30,7 +30,7 @@
 
 
 class Stream(NamedTuple):
-    """A stream as it is asked for, and the part of its bound that it truly takes."""
+    """A requested stream, and its actual duration as a fraction of the estimate."""
 
     asked_ms: float
     limit_ms: float
@@ -47,17 +47,18 @@
     st.tuples(st.floats(0.0, 25_000.0), st.floats(0.0, 30_000.0), st.integers(1, 2_000)),
     max_size=19,
 )
-"""Age, length and expected tokens of streams that ended; so few that the largest one counts."""
+"""Age, duration and expected tokens of finished streams; so few that their quantile is the maximum.
+"""
 
 
 @given(STOPS, STREAMS, READINGS)
-def test_what_is_taken_ends_before_the_last_exit_and_nothing_else_is_refused(
+def test_only_requests_that_cannot_finish_before_the_exit_are_refused(
     stop: Stop, stream: Stream, readings: list[tuple[float, float, int]]
 ) -> None:
-    """Symptom: a stream breaks off at its router's end, or is refused though it had the time.
+    """Failure: a stream is cut off by its router's exit, or is refused although it would fit.
 
-    Sequence: any stop, any limits, any lengths seen before, and a stream that takes no longer than
-    these let expect. Cause: the time left and the stream's length were not compared.
+    This happens if the stream's expected duration is not compared with the time until the exit.
+    Inputs are any stop, any limits, any observed durations, and a stream within the estimate.
     """
     times = ServiceTimes()
     for age_ms, took_ms, tokens in sorted(readings, reverse=True):
@@ -78,7 +79,7 @@
 
 
 def expected_ms(stream: Stream, readings: list[tuple[float, float, int]]) -> float:
-    """What a stream is expected to take at the most, said again."""
+    """Independent computation of a stream's longest expected duration."""
     recent = [
         took_ms / max(LEAST_TOKENS, tokens)
         for age_ms, took_ms, tokens in readings
@@ -91,7 +92,7 @@
 
 
 @given(STOPS)
-def test_a_router_lingers_no_longer_than_it_lives(stop: Stop) -> None:
+def test_a_router_lingers_no_longer_than_until_its_exit(stop: Stop) -> None:
     plan = plan_leaving(stop.at_ms, grace_ms=stop.grace_ms, address_ttl_ms=stop.ttl_ms)
     assert plan.asked_ms <= plan.linger_until_ms <= plan.last_exit_ms
     assert plan.last_exit_ms < stop.at_ms + stop.grace_ms
@@ -99,7 +100,7 @@
     assert not plan.lingers(plan.linger_until_ms)
 
 
-def test_readings_are_forgotten() -> None:
+def test_samples_expire() -> None:
     times = ServiceTimes()
     for _ in range(LEAST_READINGS):
         times.streamed(10_000.0, 100, 1_000.0)
@@ -108,14 +109,14 @@
     assert times.longest_stream_ms(0.0, 100, 1e6, last_ms + 1.0) == 1e6
 
 
-def test_a_short_stream_says_little_of_long_ones() -> None:
+def test_short_streams_do_not_raise_the_estimate_of_long_ones() -> None:
     times = ServiceTimes()
     for _ in range(LEAST_READINGS):
         times.streamed(300.0, 3, 0.0)
     assert times.longest_stream_ms(0.0, 500, 1e6, 0.0) == MARGIN * 300.0 / LEAST_TOKENS * 500
 
 
-def test_one_stream_in_many_that_was_stuck_does_not_count() -> None:
+def test_one_stuck_stream_in_many_does_not_change_the_estimate() -> None:
     times = ServiceTimes()
     times.streamed(50_000.0, 100, 0.0)
     for _ in range(40):
@@ -123,7 +124,7 @@
     assert times.longest_stream_ms(0.0, 100, 1e6, 2.0) == MARGIN * 1_000.0
 
 
-def test_a_plain_answer_is_bounded_by_the_slowest_lately() -> None:
+def test_a_plain_answer_is_estimated_by_the_slowest_recent_one() -> None:
     times = ServiceTimes()
     assert times.longest_answer_ms(1_200.0, 0.0) == 1_200.0
     times.answered(200.0, 0.0)
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -1,4 +1,4 @@
-"""When a loop that runs late counts as overloaded, and when it has recovered."""
+"""Detection of an event loop's overload and recovery."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 BEHIND_MS = 2 * LATE_MS
 
 
-def test_a_loop_that_stays_behind_is_overloaded_until_it_has_been_calm_for_a_while() -> None:
+def test_persistent_lag_is_an_overload_until_the_loop_has_been_calm() -> None:
     lag = LoopLag()
-    turns = [lag.woke(BEHIND_MS, 0.0) for _ in range(LATE_SAMPLES)]
-    assert turns == [False] * (LATE_SAMPLES - 1) + [True]
+    changed_state = [lag.woke(BEHIND_MS, 0.0) for _ in range(LATE_SAMPLES)]
+    assert changed_state == [False] * (LATE_SAMPLES - 1) + [True]
     assert (lag.overloaded, lag.overloads) == (True, 1)
-    turns = [lag.woke(0.0, 0.0) for _ in range(CALM_SAMPLES)]
-    assert turns == [False] * (CALM_SAMPLES - 1) + [True]
+    changed_state = [lag.woke(0.0, 0.0) for _ in range(CALM_SAMPLES)]
+    assert changed_state == [False] * (CALM_SAMPLES - 1) + [True]
     assert (lag.overloaded, lag.overloads) == (False, 1)
 
 
-def test_one_late_sample_is_no_overload() -> None:
-    """Symptom: a router that was suspended for a moment sends its callers away.
+def test_one_late_sample_is_not_an_overload() -> None:
+    """Failure: a router that was suspended for a moment directs its callers to other routers.
 
-    Sequence: the process is held for seconds and goes on; one timer fires late. Cause: a single
-    sample was taken for a lasting state.
+    The process is paused for seconds and continues, so that one timer fires late; a single late
+    sample must not count as an overload.
     """
     lag = LoopLag()
     for late_ms in (3_000.0, 0.0, BEHIND_MS, 0.0):
@@ -38,7 +38,7 @@
     assert not lag.overloaded
 
 
-def test_lateness_between_the_bounds_changes_nothing() -> None:
+def test_lag_between_the_thresholds_does_not_change_the_state() -> None:
     lag = LoopLag()
     between_ms = (CALM_MS + LATE_MS) / 2
     assert not any(lag.woke(between_ms, 0.0) for _ in range(100))
@@ -48,7 +48,7 @@
     assert lag.overloaded
 
 
-def test_the_shown_lag_is_a_peak_that_fades() -> None:
+def test_the_reported_lag_is_a_decaying_peak() -> None:
     lag = LoopLag()
     lag.woke(1_000.0, 0.0)
     for _ in range(100):
@@ -57,11 +57,11 @@
     assert lag.most_ms == 1_000.0
 
 
-def test_an_overloaded_router_takes_callers_for_a_part_of_the_time() -> None:
-    """Symptom: nobody is served while all routers are behind.
+def test_an_overloaded_router_accepts_requests_part_of_the_time() -> None:
+    """Failure: no request is served while all routers are overloaded.
 
-    Sequence: the loops of all routers are late for a cause other than their callers. Cause: each
-    refused all that came for as long as its loop was late.
+    The loops of all routers lag for a reason other than their callers, and each router refuses all
+    requests as long as its loop lags.
     """
     lag = LoopLag()
     assert not lag.sheds(0.0)
@@ -74,11 +74,11 @@
         assert not lag.sheds(begin_ms + SHED_MS + TAKE_MS - 1.0)
 
 
-def test_callers_are_sent_elsewhere_for_longer_than_they_use_an_answer() -> None:
-    """Symptom: a caller of much traffic stays at the router that it overloads, again and again.
+def test_callers_avoid_a_router_for_longer_than_they_use_an_answer() -> None:
+    """Failure: a caller with much traffic overloads the same router again and again.
 
-    Sequence: an overload lasts half a second; the caller asks for addresses before and after it.
-    Cause: the router was left out of answers for no longer than it was overloaded.
+    An overload lasts half a second, and the caller asks for addresses before and after it. A router
+    that is left out of answers only during its overload is never left out of the caller's answers.
     """
     lag = LoopLag()
     assert not lag.avoid(0.0)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Who is quarantined when endpoints end, decided in a model and step by step."""
+"""Quarantine of requests that crash endpoints, in a simulated fleet and step by step."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from tamarack_core.workspace_table import WorkspaceTable
 
 LATE_MOST = 3
-"""Arrivals of one request later than 3 s after its third end that the users allow."""
+"""Allowed arrivals of one request later than 3 s after its third crash."""
 
 MASS_MS = (5_000.0, 8_000.0, 11_000.0, 14_000.0, 17_000.0)
 
 
 class Steps:
-    """A quarantine and a clock that is moved by hand."""
+    """A quarantine with a manually advanced clock."""
 
     def __init__(self, *, tries: bool = True) -> None:
         self.now_ms = 1_000.0
@@ -36,7 +36,7 @@
         self._lives = 0
 
     def end(self, *aboard: str, late: tuple[str, ...] = (), together: bool = False) -> list[str]:
-        """An endpoint ends with requests that it had; returns who is quarantined by the verdict."""
+        """Crash an endpoint with the given requests; returns those quarantined by the decision."""
         self._lives += 1
         requests = [Aboard(f, "shop", True) for f in aboard] + [
             Aboard(f, "shop", False) for f in late
@@ -44,13 +44,13 @@
         end = End(f"e{self._lives}", self._lives, together, requests)
         self.quarantine.ended(end, self.now_ms)
         self.now_ms += SETTLE_MS
-        return [verdict.fingerprint for verdict in self.quarantine.settle(self.now_ms)]
+        return [decision.fingerprint for decision in self.quarantine.settle(self.now_ms)]
 
     def look(self, fingerprint: str, workspace: str = "shop") -> Treatment:
         return self.quarantine.look(fingerprint, workspace, self.now_ms).treatment
 
 
-# the fleet in a model
+# simulated fleet
 
 
 def play(**options: object) -> ModelResult:
@@ -61,30 +61,30 @@
 @pytest.mark.parametrize(
     ("routers", "engines", "per_s", "told_ms"), [(6, 9, 140.0, 30.0), (195, 78, 400.0, 250.0)]
 )
-def test_two_guilty_requests_at_once_are_held_back_and_few_innocent_ones(
+def test_two_culprits_are_quarantined_and_few_unrelated_requests(
     routers: int, engines: int, per_s: float, told_ms: float, seed: int
 ) -> None:
-    """Symptom: engines end all day, or innocent requests are refused for good.
+    """Failure: engines crash all day, or unrelated requests are refused permanently.
 
-    Sequence: two requests end whoever runs them, each twice a second at any router; each end takes
-    some 30 others with it, which are sent again and meet the next end. Cause: nobody remembers, or
-    everybody who met three ends is blamed.
+    Two requests crash any engine and arrive twice a second each, at any router. Each crash
+    interrupts some 30 others, which are retried and meet the next crash. The first failure results
+    if no evidence is kept, the second if every request that met three crashes is quarantined.
     """
     result = play(
         routers=routers, engines=engines, per_s=per_s, told_ms=told_ms, seconds=20.0, seed=seed
     )
     assert max(result.late) <= LATE_MOST
-    # Six are what two that are known by three ends each cost; the rest are those that met.
+    # Two culprits cost six crashes, three each; the others are those where both were present.
     assert result.ends <= 18
     assert result.quarantined <= 2
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_all_are_innocent_at_a_mass_failure(seed: int) -> None:
-    """Symptom: requests are refused for minutes after a failure of machines.
+def test_no_request_is_quarantined_after_a_mass_failure(seed: int) -> None:
+    """Failure: requests are refused for minutes after a failure of instances.
 
-    Sequence: half of the engines end five times in a row; callers repeat at once and meet end
-    after end. Cause: ends that no request brought about are counted like those that one did.
+    Half of the engines crash five times in a row; callers retry at once and meet each of these
+    crashes, which must not count like crashes caused by a request.
     """
     result = play(guilty=0, failures_ms=MASS_MS, seconds=25.0, seed=seed)
     assert result.quarantined == 0
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_a_guilty_request_is_found_among_repeats_of_a_hot_one(seed: int) -> None:
+def test_a_culprit_is_found_among_repeats_of_a_popular_request(seed: int) -> None:
     result = play(guilty=1, hot_part=0.3, seconds=20.0, seed=seed)
     assert max(result.late) <= LATE_MOST
     assert result.quarantined == 0
@@ -100,17 +100,17 @@
 
 @pytest.mark.parametrize("rows", [True, False])
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_routers_that_are_all_replaced_know_from_the_store(seed: int, rows: bool) -> None:
-    """Symptom: after all routers were replaced, a known request ends endpoints anew.
+def test_replaced_routers_restore_the_quarantine_from_the_store(seed: int, rows: bool) -> None:
+    """Failure: after all routers were replaced, a quarantined request crashes endpoints again.
 
-    Sequence: it is quarantined; all routers are killed at once. Cause: only they knew. Without the
-    store's rows, as when it is down all the while, three endpoints more are the price.
+    All routers are killed at once, and the quarantine is known only to them. Without the store's
+    rows, as during an outage of the store, it costs three more endpoints.
     """
     model = QuarantineModel(ModelOptions(guilty=1, seconds=30.0, seed=seed))
-    ended_before = []
+    crashes_before = []
 
     def replace() -> None:
-        ended_before.append(len(model.ended_ms))
+        crashes_before.append(len(model.ended_ms))
         for number in range(len(model.routers)):
             model.replace_router(number, rows=rows)
 
@@ -118,10 +118,10 @@
     result = model.run()
     assert max(result.late) <= (0 if rows else LATE_MOST)
     if rows:
-        assert len(model.ended_ms) == ended_before[0]
+        assert len(model.ended_ms) == crashes_before[0]
 
 
-def test_a_router_that_comes_late_learns_what_the_others_know() -> None:
+def test_a_replaced_router_learns_the_quarantine_from_the_others() -> None:
     model = QuarantineModel(ModelOptions(guilty=1, seconds=30.0))
     model.at(10_000.0, lambda: model.replace_router(0))
     assert max(model.run().late) == 0
@@ -130,13 +130,13 @@
 # step by step
 
 
-def test_an_end_by_itself_convicts_nobody() -> None:
+def test_a_single_crash_quarantines_no_request() -> None:
     steps = Steps()
     assert steps.end("a", "b", "c") == []
     assert steps.look("a") is Treatment.FREE
 
 
-def test_a_request_alone_at_its_third_end_is_held_back() -> None:
+def test_the_only_suspect_at_its_third_crash_is_quarantined() -> None:
     steps = Steps()
     assert steps.end("a", "b") == []
     assert steps.end("a", "c") == []
@@ -147,7 +147,7 @@
     assert steps.look("d") is Treatment.FREE
 
 
-def test_of_two_suspects_at_one_end_neither_is_held_back_until_one_is_alone() -> None:
+def test_two_suspects_at_one_crash_are_not_quarantined_until_one_is_alone() -> None:
     steps = Steps()
     steps.end("a", "b")
     steps.end("a", "b")
@@ -158,19 +158,19 @@
     assert steps.look("b") is Treatment.FREE
 
 
-def test_two_that_always_meet_are_both_held_back_in_the_end() -> None:
-    """Without it, two such requests of one caller, sent at once, would go on for ever."""
+def test_two_suspects_that_always_meet_are_both_quarantined_eventually() -> None:
+    """Failure: two such requests, always sent together by one caller, crash endpoints for ever."""
     steps = Steps()
-    verdicts: list[str] = []
+    decisions: list[str] = []
     ends = 0
-    while not verdicts:
-        verdicts = steps.end("a", "b")
+    while not decisions:
+        decisions = steps.end("a", "b")
         ends += 1
-    assert sorted(verdicts) == ["a", "b"]
+    assert sorted(decisions) == ["a", "b"]
     assert ends <= 6
 
 
-def test_an_answer_clears_also_of_ends_that_await_their_verdict() -> None:
+def test_an_answer_also_clears_from_undecided_crashes() -> None:
     steps = Steps()
     steps.end("a")
     steps.end("a")
@@ -182,37 +182,37 @@
     assert not steps.quarantine.watching
 
 
-def test_one_that_ran_for_long_counts_less_beside_one_that_has_only_begun() -> None:
+def test_a_long_running_request_counts_less_beside_a_new_one() -> None:
     steps = Steps()
     for number in range(QuarantineBounds().ends):
         steps.end(f"new{number}", late=("old",))
     assert steps.look("old") is Treatment.FREE
 
 
-def test_one_that_ends_endpoints_late_is_held_back_where_nobody_else_was_there() -> None:
+def test_a_request_that_crashes_endpoints_late_is_quarantined_if_it_was_alone() -> None:
     steps = Steps()
-    verdicts = [steps.end(late=("old",)) for _ in range(3)]
-    assert verdicts == [[], [], ["old"]]
+    decisions = [steps.end(late=("old",)) for _ in range(3)]
+    assert decisions == [[], [], ["old"]]
 
 
-def test_ends_that_come_together_hold_nobody_back() -> None:
+def test_coinciding_crashes_quarantine_no_request() -> None:
     steps = Steps()
     assert [steps.end("a", together=True) for _ in range(5)] == [[]] * 5
 
 
-def test_reports_of_several_routers_are_one_end() -> None:
+def test_reports_of_several_routers_count_as_one_crash() -> None:
     steps = Steps()
     for number in range(4):
         end = End("e1", 1, False, [Aboard("a", "shop", True), Aboard(f"b{number}", "shop", True)])
         steps.quarantine.ended(end, steps.now_ms)
     steps.quarantine.settle(steps.now_ms + SETTLE_MS)
-    # Told of once more, later than all others: it counts no second time.
+    # A report after the decision does not count again.
     steps.quarantine.ended(End("e1", 1, False, [Aboard("a", "shop", True)]), steps.now_ms + 900.0)
     assert steps.quarantine.settle(steps.now_ms + 900.0 + SETTLE_MS) == []
     assert [reading.ends for reading in steps.quarantine.suspects(9)] == [1] * 5
 
 
-def test_a_repeat_waits_while_a_suspect_is_being_tried() -> None:
+def test_a_repeat_waits_while_a_suspect_runs_isolated() -> None:
     steps = Steps()
     steps.end("a")
     steps.end("a")
@@ -223,7 +223,7 @@
     assert steps.look("a") is Treatment.APART
 
 
-def test_suspects_are_tried_at_different_endpoints() -> None:
+def test_suspects_run_at_different_endpoints() -> None:
     steps = Steps()
     keys = [EndpointLife(f"e{n}", n) for n in range(3)]
     taken = []
@@ -234,10 +234,10 @@
     assert sorted(taken) == keys
 
 
-def test_a_held_request_is_tried_again_after_pauses_that_grow() -> None:
-    """Symptom: a harmless request is refused for ever, or a harmful one ends endpoints all day.
+def test_a_quarantined_request_is_tried_again_after_growing_pauses() -> None:
+    """Failure: a harmless request is refused for ever, or a harmful one crashes endpoints all day.
 
-    Cause: verdicts that never end, or pauses that do not grow.
+    The first results from decisions that never expire, the second from pauses that do not grow.
     """
     steps = Steps()
     for _ in range(3):
@@ -260,7 +260,7 @@
     assert steps.look("a") is Treatment.FREE
 
 
-def test_only_one_router_tries_a_held_request() -> None:
+def test_only_one_router_tries_a_quarantined_request() -> None:
     steps = Steps(tries=False)
     for _ in range(3):
         steps.end("a")
@@ -268,7 +268,7 @@
     assert steps.look("a") is Treatment.QUARANTINED
 
 
-def test_others_of_a_workspace_that_sends_many_kinds_are_tried_apart_at_once() -> None:
+def test_requests_of_a_workspace_with_many_culprits_are_isolated_at_once() -> None:
     steps = Steps()
     for number in range(MANY_QUARANTINED):
         steps.quarantine.take_in(QuarantinedRequest(f"f{number}", "shop", 0), steps.now_ms)
@@ -277,7 +277,7 @@
     assert steps.end("new") == ["new"]
 
 
-def test_what_the_store_no_longer_lists_is_released_and_what_it_never_had_is_not() -> None:
+def test_only_requests_deleted_from_the_store_are_released() -> None:
     steps = Steps()
     steps.quarantine.take_in(QuarantinedRequest("stored", "shop", 0), steps.now_ms, stored=True)
     steps.quarantine.take_in(QuarantinedRequest("told", "shop", 0), steps.now_ms)
@@ -286,7 +286,7 @@
     assert steps.quarantine.unstored() == [QuarantinedRequest("told", "shop", 0)]
 
 
-def test_a_suspect_is_forgotten_after_a_while() -> None:
+def test_a_suspect_expires() -> None:
     steps = Steps()
     steps.end("a")
     steps.end("a")
@@ -295,10 +295,10 @@
     assert steps.look("a") is Treatment.FREE
 
 
-def test_a_workspace_pushes_out_only_its_own() -> None:
-    """Symptom: a known request is sent on again, as ten thousand others of another workspace came.
+def test_a_workspace_evicts_only_its_own_entries() -> None:
+    """Failure: a quarantined request is sent on after ten thousand others of another workspace.
 
-    Cause: one bound on the table for all.
+    This happens if the table has only one limit for all workspaces.
     """
     steps = Steps()
     steps.quarantine.take_in(QuarantinedRequest("kept", "small", 0), steps.now_ms)
@@ -314,7 +314,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 30), st.sampled_from("abcd")), max_size=80))
-def test_a_table_keeps_its_bounds_and_no_workspace_takes_anothers_room(
+def test_a_table_keeps_its_limits_and_spares_small_workspaces(
     puts: list[tuple[int, str]],
 ) -> None:
     table: WorkspaceTable[int] = WorkspaceTable(most=12, most_of_one=8)
--- a/tests/test_relay_plan.py
+++ b/tests/test_relay_plan.py
@@ -1,4 +1,4 @@
-"""Who relays in a large fleet, and who listens to whom, on a held time."""
+"""Relays and subscriptions in a large fleet, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return sorted(names, key=lambda name: peers[name].failure_domain)
 
 
-def test_a_small_fleet_has_no_relays_and_hears_all() -> None:
+def test_routers_of_a_small_fleet_subscribe_to_all_others() -> None:
     peers = fleet(8)
     for name, plan in plans(peers).items():
         links = plan.links(0.0)
@@ -43,27 +43,27 @@
     assert [peers[name].failure_domain for name in found] == list(DOMAINS)
 
 
-def test_every_router_is_heard_by_its_relay_and_hears_it() -> None:
-    """Symptom: some routers do not know what others place.
+def test_routers_and_their_relay_subscribe_to_each_other() -> None:
+    """Failure: some routers do not receive the placements of others.
 
-    Sequence: a large fleet starts. Cause: a router reports to another one than the relay, or the
-    relays do not hear each other.
+    This happens if a router reports to another one than its relay, or if the relays do not
+    subscribe to each other.
     """
     peers = fleet(66)
     of = plans(peers)
     found = relays(of, peers, 0.0)
     for relay in found:
         domain = peers[relay].failure_domain
-        heard = of[relay].links(0.0).addresses
+        subscribed = of[relay].links(0.0).addresses
         near = {p.address for p in peers.values() if p.failure_domain == domain}
-        assert near - {peers[relay].address} <= heard
-        assert {peers[other].address for other in found if other != relay} <= heard
+        assert near - {peers[relay].address} <= subscribed
+        assert {peers[other].address for other in found if other != relay} <= subscribed
         for name, peer in peers.items():
             if peer.failure_domain == domain and name != relay:
                 assert peers[relay].address in of[name].links(0.0).addresses
 
 
-def test_what_a_router_listens_to_does_not_grow_with_the_fleet() -> None:
+def test_subscriptions_do_not_grow_with_the_fleet() -> None:
     for size in (66, 300):
         peers = fleet(size)
         of = plans(peers)
@@ -71,11 +71,11 @@
         assert max(len(plan.links(0.0).addresses) for plan in idle) <= CANDIDATES
 
 
-def test_the_next_router_relays_once_the_relay_is_silent() -> None:
-    """Symptom: a failure domain hears nothing of the others for good.
+def test_the_next_candidate_takes_over_from_a_silent_relay() -> None:
+    """Failure: a failure domain permanently receives nothing from the others.
 
-    Sequence: its relay is killed, and its row in the store stays. Cause: who relays followed from
-    the store's rows alone.
+    Its relay is killed while its row in the store stays, and the choice of the relay depends on the
+    store's rows alone.
     """
     peers = fleet(66)
     of = plans(peers)
@@ -94,11 +94,11 @@
     assert len(relays(alive, peers, lost_ms + 50.0)) == len(DOMAINS) - 1
 
 
-def test_a_relay_that_hears_nobody_falls_silent() -> None:
-    """Symptom: a failure domain hears nothing, though a relay speaks all the while.
+def test_a_relay_that_receives_nothing_stops_publishing() -> None:
+    """Failure: a failure domain receives no updates although its relay publishes.
 
-    Sequence: the relay is cut off in one direction: it sends, and receives nothing. Cause: the
-    others hear it and wait for no other one.
+    The relay is partitioned in one direction: it sends, but receives nothing. The others receive
+    its messages, so that none of them takes over.
     """
     peers = fleet(66)
     of = plans(peers)
@@ -108,10 +108,10 @@
     assert not relay.speaks(1_000.0 + 2 * SILENCE_MS + 1.0)
 
 
-def test_a_router_alone_in_its_failure_domain_relays_for_itself() -> None:
+def test_a_router_alone_in_its_failure_domain_is_its_relay() -> None:
     peers = fleet(13)
-    lonely = Peer("z", "z:1", "z")
-    peers["z"] = lonely
+    single = Peer("z", "z:1", "z")
+    peers["z"] = single
     plan = RelayPlan("z", "z")
     plan.put(peers, 0.0)
     assert plan.links(60_000.0).relays
--- a/tests/test_service_shares.py
+++ b/tests/test_service_shares.py
@@ -1,4 +1,4 @@
-"""Shares of workspaces at a site with several services of model engines."""
+"""Fair shares of workspaces at a site with several services of model engines."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def make_state(clock: HeldClock, **engines: int) -> FleetState:
-    """A router's beliefs with so many engines at each service."""
+    """A router's local state with the given number of engines of each service."""
     state = state_with(clock)
     services = [Service(name, 100, EngineTraits(16, 500_000, 6)) for name in engines]
     state.put_rules(Ruleset(1, [], services, {}, tokens_per_s=TOKENS_PER_S))
@@ -45,7 +45,7 @@
 
 
 def verdict(state: FleetState, service: str, workspace: str) -> Admission:
-    """What becomes of a request of a workspace at a service."""
+    """Admission decision on a workspace's request at a service."""
     share = (ServiceShare(service, 1),)
     route = Route("/", "h", "/", RequestKind.STREAM, share, 4_000.0, 800.0, 2, False, True)
     facts = RequestFacts("attempt", "h", "/", None, "key", PROMPT, None)
@@ -56,16 +56,16 @@
     return placement.decision.verdict
 
 
-def told(**services: list[Tokens]) -> Placements:
+def placements_of(**services: list[Tokens]) -> Placements:
     return Placements([], services)
 
 
-def test_one_far_ahead_at_a_busy_service_may_use_the_free_engines_of_another() -> None:
-    """Failure: a workspace is refused beside free engines for what it got at other ones."""
+def test_a_workspace_beyond_its_share_at_one_service_may_use_idle_engines_of_another() -> None:
+    """Failure: a workspace is refused beside idle engines for its service at another pool."""
     clock = HeldClock(10_000.0)
     state = make_state(clock, busy=2, idle=2)
     flood, other = Tokens("flood", 20_000_000, 4_000_000), Tokens("other", 9_000_000, 1_000_000)
-    state.take_placements(told(busy=[flood, other]))
+    state.take_placements(placements_of(busy=[flood, other]))
     for name in ("busy-0", "busy-1"):
         state.models[name].sent_elsewhere(30.0, clock.now_ms)
     assert verdict(state, "busy", "flood") is Admission.REFUSED
@@ -74,20 +74,20 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_word_of_an_unknown_service_is_not_kept(known: bool) -> None:
-    """Failure: a peer that tells nonsense makes a router's memory grow without bound."""
+def test_reports_of_an_unknown_service_are_not_stored(known: bool) -> None:
+    """Failure: a peer that reports unknown services makes a router's memory grow without bound."""
     clock = HeldClock(10_000.0)
     state = make_state(clock, **({"pool": 1} if known else {}))
     for number in range(1_000):
-        state.take_placements(told(**{f"s{number}": [Tokens("w", 10, 10)]}))
-    state.take_placements(told(pool=[Tokens("w", 10, 0)]))
+        state.take_placements(placements_of(**{f"s{number}": [Tokens("w", 10, 10)]}))
+    state.take_placements(placements_of(pool=[Tokens("w", 10, 0)]))
     assert len(state.shares._shares) == int(known)
     state.put_rules(Ruleset(2, [], [], {}))
     assert not state.shares._shares
 
 
-def test_each_service_has_a_part_of_the_throughput_by_its_engines() -> None:
-    """Failure: each of several services is taken to carry what all of them carry together."""
+def test_throughput_is_divided_between_services_by_their_engines() -> None:
+    """Failure: the throughput of all services together is assumed for each of them."""
     state = make_state(HeldClock(), large=3, small=1)
     assert state.throughput("large") == pytest.approx(0.75 * TOKENS_PER_S)
     assert state.throughput("small") == pytest.approx(0.25 * TOKENS_PER_S)
@@ -104,10 +104,10 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.lists(_ROW, max_size=6), max_size=6))
-def test_sums_of_relays_lose_and_double_no_workspaces_tokens(
+def test_relays_neither_lose_nor_duplicate_tokens(
     reports: list[list[tuple[str, str, int, bool]]],
 ) -> None:
-    """Failure: what a workspace got at one service is told as another's, twice, or not at all."""
+    """Failure: a workspace's service is reported for another workspace, twice, or not at all."""
     whole: Counter[tuple[str, str, bool]] = Counter()
     relay = PlacementSum()
     for report in reports:
@@ -115,9 +115,9 @@
         for service, workspace, tokens, served in report:
             (outbox.served if served else outbox.asked)(service, workspace, tokens)
             whole[service, workspace, served] += tokens
-        told = outbox.take()
-        if told is not None:
-            relay.add(told)
+        placements = outbox.take()
+        if placements is not None:
+            relay.add(placements)
     summed = relay.take() or Placements([], {})
     found = Counter(
         {
