--- a/tests/share_simulation.py
+++ b/tests/share_simulation.py
@@ -33,7 +33,7 @@
 """Number of retries of a refused request."""
 
 
-class Asks(NamedTuple):
+class Demand(NamedTuple):
     """Demand of a workspace.
 
     Attributes
@@ -63,7 +63,7 @@
         Interval in milliseconds at which a router reports to the others.
     """
 
-    workspaces: dict[str, Asks]
+    workspaces: dict[str, Demand]
     tokens_per_s: float
     engines: int = 20
     routers: int = 10
@@ -123,7 +123,7 @@
         self.records = {name: EndpointRecord() for name in names}
         self.news: list[Callable[[_Router, float], None]] = []
 
-    def tell(self, news: Callable[[_Router, float], None]) -> None:
+    def queue_report(self, news: Callable[[_Router, float], None]) -> None:
         self.news.append(news)
 
 
@@ -155,7 +155,7 @@
         self._by_free: dict[str, float] = defaultdict(float)
         self._now_ms = 0.0
 
-    def play(self) -> Outcome:
+    def run(self) -> Outcome:
         """Run the simulation to its end."""
         scenario = self._scenario
         self._fill_caches()
@@ -217,15 +217,15 @@
         prompt = self._prompt(workspace, name)
         if self._counted(now_ms):
             self._asked[workspace] += prompt.charge
-        self._ask(_Request(name, workspace, prompt, now_ms))
+        self._request(_Request(name, workspace, prompt, now_ms))
         gap_ms = prompt.charge / self._scenario.workspaces[workspace].rate * 1000
         self._at(now_ms + self._random.expovariate(1.0 / gap_ms), self._arrive, workspace)
 
-    def _ask(self, request: _Request) -> None:
+    def _request(self, request: _Request) -> None:
         router = self._random.choice(self._routers)
         charge, workspace = request.prompt.charge, request.workspace
         router.shares.ask(workspace, charge, self._now_ms)
-        router.tell(lambda other, now_ms: other.shares.ask(workspace, charge, now_ms))
+        router.queue_report(lambda other, now_ms: other.shares.ask(workspace, charge, now_ms))
         self._decide(router, request, self._now_ms)
 
     def _decide(self, router: _Router, request: _Request, received_ms: float) -> None:
@@ -248,7 +248,7 @@
             self._at(now_ms + decision.wait_ms, self._decide, router, request, received_ms)
         elif request.returns < RETURNS:
             again = request._replace(returns=request.returns + 1)
-            self._at(now_ms + decision.wait_ms, self._ask, again)
+            self._at(now_ms + decision.wait_ms, self._request, again)
 
     # sends
 
@@ -264,11 +264,11 @@
             other.models[engine].keep_named(parts, at_ms)
             other.shares.serve(request.workspace, prompt.charge, at_ms)
 
-        router.tell(apply)
+        router.queue_report(apply)
         begins_ms = self._engines[engine].take(prompt, now_ms)
-        self._at(begins_ms, self._begin, router, request, engine)
+        self._at(begins_ms, self._first_event, router, request, engine)
 
-    def _begin(self, router: _Router, request: _Request, engine: str) -> None:
+    def _first_event(self, router: _Router, request: _Request, engine: str) -> None:
         now_ms, model = self._now_ms, router.models[engine]
         model.first_event(request.name, now_ms)
         wait_ms, pace = model.wait_ms(now_ms), model.pace(now_ms)
@@ -276,7 +276,7 @@
         def apply(other: _Router, at_ms: float) -> None:
             other.models[engine].seen_elsewhere(wait_ms, pace, at_ms)
 
-        router.tell(apply)
+        router.queue_report(apply)
         took_ms = now_ms - request.arrived_ms
         if self._counted(now_ms) and took_ms <= DEADLINE_MS:
             self._served[request.workspace] += request.prompt.charge
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -8,19 +8,24 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from share_simulation import Asks, Outcome, Scenario, Simulation
+from share_simulation import Demand, Outcome, Scenario, Simulation
 
 from tamarack_core.admission import Admission, admit
 from tamarack_core.workspace_shares import WorkspaceShares
 
-HEAVY = {"flood": Asks(6e6), "wide": Asks(2e6), "squeezed": Asks(1.5e6), "fourth": Asks(1.2e6)}
-SMALL = {f"small-{number}": Asks(40_000.0, parts=5) for number in range(5)}
+HEAVY = {
+    "flood": Demand(6e6),
+    "wide": Demand(2e6),
+    "squeezed": Demand(1.5e6),
+    "fourth": Demand(1.2e6),
+}
+SMALL = {f"small-{number}": Demand(40_000.0, parts=5) for number in range(5)}
 
 NOMINAL = 400_000.0
 """Configured tokens per second: a fifth of what the engines serve with a high cache hit rate."""
 
 
-def play(seed: int, *, restarted: int = 0) -> Outcome:
+def run(seed: int, *, restarted: int = 0) -> Outcome:
     """Simulate six seconds after a warm-up of four; routers restart two seconds into them."""
     scenario = Scenario(
         {**HEAVY, **SMALL},
@@ -32,7 +37,7 @@
         length_ms=10_000.0,
         seed=seed,
     )
-    return Simulation(scenario, from_ms=4_000.0, until_ms=10_000.0).play()
+    return Simulation(scenario, from_ms=4_000.0, until_ms=10_000.0).run()
 
 
 @pytest.mark.parametrize(("seed", "restarted"), [(1, 0), (2, 0), (1, 2)])
@@ -47,7 +52,7 @@
     the one at 2 got 4.3 million of 17.9 million requested, while a quarter of the engines got a
     third of the mean number of requests.
     """
-    outcome = play(seed, restarted=restarted)
+    outcome = run(seed, restarted=restarted)
     assert outcome.fairness(list(HEAVY)) >= 0.5
     assert outcome.fairness(list(SMALL)) >= 0.5
 
@@ -60,11 +65,11 @@
     and engines are idle. Of 13 refusals in two routers' logs nine occurred while the queue of some
     engine was below 5 ms; the median queue of the chosen engine was 294 ms, with 139 ms allowed.
     """
-    workspaces = {"a": Asks(1e6), "b": Asks(8e5), "c": Asks(3e5), **SMALL}
+    workspaces = {"a": Demand(1e6), "b": Demand(8e5), "c": Demand(3e5), **SMALL}
     parts = []
     for seed in range(1, 5):
         scenario = Scenario(workspaces, NOMINAL, engines=16, routers=8, length_ms=10_000.0)
-        played = Simulation(scenario._replace(seed=seed), from_ms=4_000.0, until_ms=10_000.0).play()
+        played = Simulation(scenario._replace(seed=seed), from_ms=4_000.0, until_ms=10_000.0).run()
         assert played.fairness(["a", "b", "c"]) >= 0.75
         assert played.fairness(list(SMALL)) >= 0.65
         parts.append(sum(played.served.values()) / sum(played.asked.values()))
@@ -81,12 +86,12 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_shares_are_fair_among_many_engines(seed: int, tell_ms: float) -> None:
     """Failure: of many engines one is always idle, and the highest demand finds it most often."""
-    large = {f"large-{number}": Asks(rate * 1e6) for number, rate in enumerate(RATES)}
-    small = {f"small-{number}": Asks(40_000.0, parts=3) for number in range(50)}
+    large = {f"large-{number}": Demand(rate * 1e6) for number, rate in enumerate(RATES)}
+    small = {f"small-{number}": Demand(40_000.0, parts=3) for number in range(50)}
     nominal = NOMINAL * MANY_ENGINES / 16
     scenario = Scenario({**large, **small}, nominal, MANY_ENGINES, 8, length_ms=10_000.0)
     scenario = scenario._replace(seed=seed, tell_ms=tell_ms)
-    outcome = Simulation(scenario, from_ms=4_000.0, until_ms=10_000.0).play()
+    outcome = Simulation(scenario, from_ms=4_000.0, until_ms=10_000.0).run()
     assert outcome.fairness(list(large)) >= 0.5
     asked, served = (
         sum(tokens.get(name, 0.0) for name in small) for tokens in (outcome.asked, outcome.served)
@@ -112,23 +117,23 @@
         self._events: list[tuple[float, int, float | None]] = []
         self.asked, self.served = [0.0] * len(asks), [0.0] * len(asks)
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Run the simulation to its end."""
         for number in range(len(self._rates)):
-            self._plan_arrival(number, 0.0)
+            self._schedule_arrival(number, 0.0)
         while self._events[0][0] < UNTIL_MS:
-            now_ms, number, came_ms = heapq.heappop(self._events)
-            if came_ms is None:
-                self._plan_arrival(number, now_ms)
+            now_ms, number, received_ms = heapq.heappop(self._events)
+            if received_ms is None:
+                self._schedule_arrival(number, now_ms)
                 self._shares.ask(str(number), TOKENS, now_ms)
                 self.asked[number] += TOKENS * (now_ms >= FROM_MS)
-            self._decide(number, now_ms, now_ms if came_ms is None else came_ms)
+            self._decide(number, now_ms, now_ms if received_ms is None else received_ms)
 
-    def _plan_arrival(self, number: int, now_ms: float) -> None:
+    def _schedule_arrival(self, number: int, now_ms: float) -> None:
         gap_ms = self._random.expovariate(self._rates[number])
         heapq.heappush(self._events, (now_ms + gap_ms, number, None))
 
-    def _decide(self, number: int, now_ms: float, came_ms: float) -> None:
+    def _decide(self, number: int, now_ms: float, received_ms: float) -> None:
         reading_ms = TOKENS / TOKENS_PER_MS
         engine = min(range(ENGINES), key=lambda engine: self._free_ms[engine])
         begins_ms = max(now_ms, self._free_ms[engine])
@@ -138,14 +143,14 @@
             unavoidable_ms=reading_ms,
             aim_ms=1_000.0,
             shortest_aim_ms=1_000.0,
-            waited_ms=now_ms - came_ms,
+            waited_ms=now_ms - received_ms,
             left_ms=10_000.0,
             returned=False,
             draw=0.0,
             **position._asdict(),
         )
         if decision.verdict is Admission.HELD:
-            heapq.heappush(self._events, (now_ms + decision.wait_ms, number, came_ms))
+            heapq.heappush(self._events, (now_ms + decision.wait_ms, number, received_ms))
         elif decision.verdict is Admission.ADMITTED:
             self._free_ms[engine] = begins_ms + reading_ms
             self.served[number] += TOKENS * (now_ms >= FROM_MS)
@@ -161,7 +166,7 @@
     `nominal` is the configured throughput as a fraction of it.
     """
     played = Queueing(asks, nominal)
-    played.play()
+    played.run()
     best = max(played.served)
     for wanted, got in zip(played.asked, played.served, strict=True):
         # A tolerance of three requests, for the start of the measured six seconds.
@@ -218,7 +223,7 @@
     calls = []
     asks_now = WorkspaceShares._asks_now
     monkeypatch.setattr(
-        WorkspaceShares, "_asks_now", lambda *told: calls.append(told) or asks_now(*told)
+        WorkspaceShares, "_asks_now", lambda *args: calls.append(args) or asks_now(*args)
     )
     for number in range(100):
         assert shares.position("w0", 1e6, 5_000.0 + number) == first
