--- a/packages/router/src/tamarack_router/caller_sockets.py
+++ b/packages/router/src/tamarack_router/caller_sockets.py
@@ -1,4 +1,4 @@
-"""The callers' sockets of the relay: who follows which answer."""
+"""The callers' sockets of the relay and the answers that they follow."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class CallerSockets:
-    """Followers by the request whose answer they follow, watched by the relay's selector.
+    """Followers grouped by the request whose answer they follow, on the relay's selector.
 
     Parameters
     ----------
-    nobody_follows
-        Called with a request that has no follower any more, and whether the last one went away
-        before it had the whole answer.
+    on_unfollowed
+        Called with a request that has lost its last follower, and whether that caller
+        disconnected before it had received the whole answer.
     """
 
-    def __init__(self, selector: selectors.BaseSelector, nobody_follows: NobodyFollows) -> None:
+    def __init__(self, selector: selectors.BaseSelector, on_unfollowed: NobodyFollows) -> None:
         self._selector = selector
-        self._nobody_follows = nobody_follows
+        self._on_unfollowed = on_unfollowed
         self._groups: dict[str, list[Follower]] = {}
 
     def __len__(self) -> int:
@@ -36,11 +36,11 @@
                 follower.close()
 
     def attach(self, follower: Follower) -> None:
-        """Watch a caller's socket."""
+        """Register a caller's socket with the selector."""
         self._groups.setdefault(follower.answer.request, []).append(follower)
 
         def ready(mask: int) -> None:
-            # An event earlier in the same round may have finished and closed this follower.
+            # An earlier event of the same selector round may have closed this follower.
             if follower.closed:
                 return
             follower.ready(mask)
@@ -49,17 +49,17 @@
         self._selector.register(follower.sock, follower.interest, ready)
 
     def pump(self, answer: KeptAnswer) -> None:
-        """Write what is new of an answer to all who follow it."""
+        """Write new data of an answer to all its followers."""
         for follower in list(self._groups.get(answer.request, [])):
             self.pump_one(follower)
 
     def pump_one(self, follower: Follower) -> None:
-        """Write what is new of an answer to one caller."""
+        """Write new data of an answer to one follower."""
         follower.pump()
         self._after_write(follower)
 
     def move(self, request: str, target: KeptAnswer) -> None:
-        """Let all who follow a request go on with another copy of its answer."""
+        """Switch all followers of a request to another copy of its answer."""
         for follower in self._groups.pop(request, []):
             self._selector.unregister(follower.sock)
             follower.follow(target)
@@ -79,4 +79,4 @@
         group.remove(follower)
         if not group:
             del self._groups[request]
-            self._nobody_follows(request, follower.gone)
+            self._on_unfollowed(request, follower.gone)
--- a/packages/router/src/tamarack_router/endpoint_cancel.py
+++ b/packages/router/src/tamarack_router/endpoint_cancel.py
@@ -1,4 +1,4 @@
-"""Tells an engine that nobody wants a stream any more."""
+"""Cancels a stream at its engine."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from tamarack_router.endpoint_connection import EndpointConnection
 
-GIVE_UP_MS = 1_000.0
+CANCEL_TIMEOUT_MS = 1_000.0
 
 Later = Callable[[float, Callable[[], None]], None]
 
@@ -15,7 +15,7 @@
 def cancel_at_endpoint(
     address: str, run_id: str, selector: selectors.BaseSelector, later: Later
 ) -> None:
-    """Send the cancellation beside everything else; its answer does not matter."""
+    """Send the cancellation in the background and ignore the response."""
     connection = EndpointConnection(address, "DELETE", f"/v1/streams/{run_id}", [], b"")
     if connection.start():
         connection.close()
@@ -35,4 +35,4 @@
             connection.close()
 
     selector.register(connection.sock, connection.interest, ready)
-    later(GIVE_UP_MS, close)
+    later(CANCEL_TIMEOUT_MS, close)
--- a/packages/router/src/tamarack_router/endpoint_connection.py
+++ b/packages/router/src/tamarack_router/endpoint_connection.py
@@ -1,7 +1,7 @@
-"""One HTTP exchange with an endpoint over a non-blocking socket of its own.
+"""One HTTP exchange with an endpoint over its own non-blocking socket.
 
-A connection carries one exchange and is closed after it. A reused connection is how answers
-cross: the unread remainder of one would be read as the next.
+A connection carries one exchange and is closed after it. On a reused connection the unread rest of
+one answer could be read as the start of the next, and reach the wrong caller.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 
 
 class Head(NamedTuple):
-    """Status and headers came in; names are lower case."""
+    """Status and headers were received; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
 
 
 class Body(NamedTuple):
-    """A part of the body came in."""
+    """A part of the body was received."""
 
     data: bytes
 
 
 class End(NamedTuple):
-    """The answer is whole."""
+    """The answer is complete."""
 
 
 class Broke(NamedTuple):
-    """The connection ended before the answer did."""
+    """The connection failed or closed before the answer was complete."""
 
     reason: str
 
@@ -45,7 +45,7 @@
 
 
 class EndpointConnection:
-    """Connects, sends one request, and gives what comes back as events.
+    """Connects, sends one request and returns the response as events.
 
     Parameters
     ----------
@@ -72,7 +72,7 @@
 
     @property
     def sock(self) -> socket.socket:
-        """The socket to select on."""
+        """The socket to register with a selector."""
         return self._sock
 
     @property
@@ -82,24 +82,24 @@
 
     @property
     def interest(self) -> int:
-        """What to select for."""
+        """Selector events to wait for."""
         if self._position < len(self._out):
             return selectors.EVENT_WRITE | (selectors.EVENT_READ if self._connected else 0)
         return selectors.EVENT_READ
 
     def start(self) -> list[ConnectionEvent]:
-        """Begin to connect."""
+        """Start to connect; return an event if that fails at once."""
         code = self._sock.connect_ex(self._target)
         if code not in (0, errno.EINPROGRESS):
             return [Broke(errno.errorcode.get(code, str(code)))]
         return []
 
     def close(self) -> None:
-        """Close the socket, read or not."""
+        """Close the socket, whether or not the answer is complete."""
         self._sock.close()
 
     def ready(self, mask: int) -> list[ConnectionEvent]:
-        """Go on as far as the socket lets; return what happened."""
+        """Write and read until the socket would block; return the events."""
         try:
             if mask & selectors.EVENT_WRITE:
                 self._write()
@@ -142,14 +142,14 @@
     # Callbacks of the parser
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Handle one header."""
         self._head_bytes += len(name) + len(value)
-        # An endpoint that sends a head without end would otherwise fill the router's memory.
+        # Without a limit an endpoint that sends endless headers would exhaust the router's memory.
         if self._head_bytes <= MAX_HEAD_BYTES:
             self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Take the end of the head."""
+        """Handle the end of the response head."""
         status = self._parser.get_status_code()
         if self._head_bytes > MAX_HEAD_BYTES:
             self._broke("the head is too large")
@@ -158,11 +158,11 @@
         self._headers = {}
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Handle a part of the body."""
         self._events.append(Body(data))
 
     def on_message_complete(self) -> None:
-        """Take the end of the answer; an early one may come before the request was sent."""
+        """Handle the end of the answer, which may arrive before the whole request was sent."""
         if not self._ended and self._parser.get_status_code() >= 200:
             self._ended = True
             self._events.append(End())
--- a/packages/router/src/tamarack_router/followed_requests.py
+++ b/packages/router/src/tamarack_router/followed_requests.py
@@ -1,4 +1,4 @@
-"""Requests whose key runs at another router; their callers follow that run's answer."""
+"""Requests whose idempotency key runs elsewhere; their callers follow that run's answer."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class FollowedRequest(NamedTuple):
-    """A request that is held here, and where its key runs."""
+    """A request held here, and the run of its key at another router."""
 
     held: HeldRequest
     message: FollowRequest
 
 
 class FollowedRequests:
-    """Followed requests by the request whose answer they follow.
+    """Requests grouped by the remote request whose answer they follow.
 
     Parameters
     ----------
-    let_go
-        Called with a request that need not be held any more.
+    release
+        Called with a request that no longer needs to be held.
     """
 
     def __init__(
@@ -33,41 +33,41 @@
         answers: AnswerStore,
         remote: RemoteAnswers,
         callers: CallerSockets,
-        let_go: Callable[[HeldRequest], None],
+        release: Callable[[HeldRequest], None],
     ) -> None:
         self._answers = answers
         self._remote = remote
         self._callers = callers
-        self._let_go = let_go
+        self._release = release
         self._following: dict[str, list[FollowedRequest]] = {}
 
     def add(self, held: HeldRequest, message: FollowRequest) -> None:
-        """Note that a request follows the run of its key's holder."""
+        """Record that a request follows the run of its key's holder."""
         self._following.setdefault(message.holder, []).append(FollowedRequest(held, message))
 
     def stop(self, request: str) -> None:
-        """Let go of all that follow a request."""
+        """Release all requests that follow a request."""
         for followed in self._following.pop(request, []):
-            self._let_go(followed.held)
+            self._release(followed.held)
 
     def take_readable(self, answer: KeptAnswer) -> FollowedRequest | None:
-        """Take back a request whose run can be read at its endpoint; None if there is none.
+        """Stop following for a request whose run can be read at its endpoint; None without one.
 
-        Without this a caller whose router died would be told that its outcome is unknown, though
-        the engine goes on with the run and can give its stream again.
+        Otherwise a caller whose router crashed would get the outcome "unknown", although the
+        engine continues the run and can send its stream again.
         """
         waiting = self._following.get(answer.request, [])
         for followed in waiting:
             if followed.message.address:
-                self._take_back(answer, followed.held)
+                self._switch_to_held(answer, followed.held)
                 return followed
         return None
 
     def take_unclaimed(self, correlation: int) -> HeldRequest | None:
-        """Take back a request whose holder no longer has it; None if it was claimed again before.
+        """Stop following for a request that its holder no longer has; None if claimed again before.
 
-        Its caller may have gone away before it ran, which withdraws it and frees the key; the
-        caller's retry, which followed it, would be told "unknown" though nothing ran.
+        The holder withdraws a request and frees its key if the caller disconnects before it runs.
+        The caller's retry, which followed it, would get the outcome "unknown" though nothing ran.
         """
         answer = self._remote.find(correlation)
         waiting = self._following.get(answer.request, []) if answer is not None else []
@@ -75,14 +75,14 @@
             return None
         held = waiting[0].held
         held.claimed_again = True
-        self._take_back(answer, held)
+        self._switch_to_held(answer, held)
         return held
 
-    def _take_back(self, answer: KeptAnswer, held: HeldRequest) -> None:
-        """Move the followers of a mirrored answer to a request that is held here."""
+    def _switch_to_held(self, answer: KeptAnswer, held: HeldRequest) -> None:
+        """Switch the followers of a mirrored answer to a request that is held here."""
         for other in self._following.pop(answer.request):
             if other.held is not held:
-                self._let_go(other.held)
+                self._release(other.held)
         self._answers.add(held.answer)
         self._remote.close(answer.request)
         self._callers.move(answer.request, held.answer)
--- a/packages/router/src/tamarack_router/follower.py
+++ b/packages/router/src/tamarack_router/follower.py
@@ -1,4 +1,4 @@
-"""A caller's socket that is written the answer of a request."""
+"""Writes the answer of a request to a caller's socket."""
 
 from __future__ import annotations
 
@@ -18,15 +18,17 @@
 
 
 class Follower:
-    """Writes an answer from an offset on, as fast as the caller takes it.
+    """Writes an answer from an offset on, as fast as the caller reads it.
 
-    The answer itself is the buffer; the follower keeps only its position, so a slow caller costs
-    no more memory than the kept answer.
+    The stored answer is the buffer and the follower keeps only its position in it, so a slow
+    caller needs no memory beyond the stored answer.
 
     Parameters
     ----------
+    offset
+        First byte of the body to write.
     state_only
-        Whether the caller wants to know the state, not the answer.
+        Whether the caller requests the state of the answer instead of its body.
     """
 
     def __init__(
@@ -47,7 +49,7 @@
         self._complete = False
         self._gone = False
         self._http = h11.Connection(h11.SERVER)
-        # h11 frames an answer only after it has seen a request; cheroot has parsed the real one.
+        # h11 frames a response only after it has parsed a request; cheroot parsed the real one.
         self._http.receive_data(_PLACEHOLDER_REQUEST)
         self._http.next_event()
         self._http.next_event()
@@ -69,37 +71,37 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the socket was closed here."""
+        """Whether this router has closed the socket."""
         return self._sock.fileno() < 0
 
     @property
     def finished(self) -> bool:
-        """Whether all was written, or nobody is there to read."""
+        """Whether everything was written or the caller has disconnected."""
         return self._gone or (self._complete and not self._pending)
 
     @property
     def interest(self) -> int:
-        """What to select for: a caller that goes away shows as readable."""
+        """Selector events to wait for; a disconnect makes the socket readable."""
         writing = selectors.EVENT_WRITE if self._pending else 0
         return selectors.EVENT_READ | writing
 
     def ready(self, mask: int) -> None:
-        """Go on after the socket became ready."""
+        """Handle the socket's readiness for reading or writing."""
         if mask & selectors.EVENT_READ:
-            self._look()
+            self._check_disconnect()
         if mask & selectors.EVENT_WRITE:
             self.pump()
 
     def follow(self, answer: KeptAnswer) -> None:
-        """Go on with another copy of the same answer, from where this one stands."""
+        """Continue with another copy of the same answer, from the current position."""
         self._answer = answer
 
     def pump(self) -> None:
-        """Write what there is to write, as far as the socket takes it."""
+        """Write the available part of the answer until the socket would block."""
         while not self._gone:
             if not self._flush():
                 return
-            data = self._next()
+            data = self._next_bytes()
             if not data:
                 return
             self._pending = memoryview(data)
@@ -109,7 +111,7 @@
         with contextlib.suppress(OSError):
             self._sock.close()
 
-    def _look(self) -> None:
+    def _check_disconnect(self) -> None:
         try:
             if not self._sock.recv(4096):
                 self._gone = True
@@ -130,35 +132,35 @@
             self._pending = self._pending[sent:]
         return True
 
-    def _next(self) -> bytes:
+    def _next_bytes(self) -> bytes:
         if self._complete:
             return b""
         answer = self._answer
         if self._state_only:
-            return self._whole(200, "application/json", self._state_body())
+            return self._full_response(200, "application/json", self._state_body())
         if answer.state == AnswerState.REFUSED or (
             answer.state == AnswerState.BROKEN and not self._head_sent
         ):
             return self._refusal()
         if not answer.stream:
-            return self._whole_answer()
-        return self._stream_part()
+            return self._full_answer()
+        return self._next_chunk()
 
-    def _whole_answer(self) -> bytes:
+    def _full_answer(self) -> bytes:
         answer = self._answer
         if answer.state != AnswerState.DONE:
             return b""
         body = bytes(answer.body[self._position :])
-        return self._whole(answer.status, answer.content_type, body)
+        return self._full_response(answer.status, answer.content_type, body)
 
-    def _stream_part(self) -> bytes:
+    def _next_chunk(self) -> bytes:
         answer = self._answer
         if not answer.status:
             return b""
         out = b""
         if not self._head_sent:
             self._head_sent = True
-            out += self._head(answer.status, answer.content_type, [])
+            out += self._response_head(answer.status, answer.content_type, [])
         data = bytes(answer.body[self._position : self._position + WRITE_BYTES])
         if data:
             self._position += len(data)
@@ -167,7 +169,7 @@
             self._complete = True
             out += self._http.send(h11.EndOfMessage()) or b""
         elif answer.state == AnswerState.BROKEN:
-            # No last chunk: the caller's HTTP library reports a cut answer as what it is.
+            # Without a last chunk the caller's HTTP library reports a truncated answer.
             self._complete = True
             out += self._http.send(h11.Data(data=self._error_event())) or b""
         return out
@@ -181,7 +183,7 @@
         refusal = self._answer.refusal
         assert refusal is not None
         reply = refusal_reply(refusal)
-        return self._whole(reply.status, reply.content_type, reply.body, reply.headers)
+        return self._full_response(reply.status, reply.content_type, reply.body, reply.headers)
 
     def _state_body(self) -> bytes:
         answer = self._answer
@@ -196,7 +198,7 @@
             state["code"] = answer.refusal.code.value
         return json_bytes(state)
 
-    def _whole(
+    def _full_response(
         self,
         status: int,
         content_type: str,
@@ -205,12 +207,12 @@
     ) -> bytes:
         self._complete = True
         extra = [("Content-Length", str(len(body))), *(headers or [])]
-        out = self._head(status, content_type, extra)
+        out = self._response_head(status, content_type, extra)
         if body:
             out += self._http.send(h11.Data(data=body)) or b""
         return out + (self._http.send(h11.EndOfMessage()) or b"")
 
-    def _head(self, status: int, content_type: str, extra: list[tuple[str, str]]) -> bytes:
+    def _response_head(self, status: int, content_type: str, extra: list[tuple[str, str]]) -> bytes:
         headers = [
             ("Content-Type", content_type or "application/octet-stream"),
             ("Connection", "close"),
--- a/packages/router/src/tamarack_router/held_request.py
+++ b/packages/router/src/tamarack_router/held_request.py
@@ -1,4 +1,4 @@
-"""A request that the relay holds from its admission until it is answered."""
+"""A request that the relay holds from admission until it is answered."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     Attributes
     ----------
     span, wait
-        Spans of the whole request and of its wait for a slot.
+        Trace spans of the whole request and of its wait for a slot.
     run
         The run in progress; None while the request waits.
     claimed_again
-        Whether its key was claimed a second time, which is done once.
+        Whether its key was claimed a second time; a third claim is not made.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self.wait: Any = None
 
     def end_wait(self) -> None:
-        """End the span of the wait, if it has not ended."""
+        """End the wait span, if it has not ended."""
         if self.wait is not None:
             self.wait.end()
             self.wait = None
--- a/packages/router/src/tamarack_router/kept_answer.py
+++ b/packages/router/src/tamarack_router/kept_answer.py
@@ -1,4 +1,4 @@
-"""Answers kept in bounded memory, for callers that come back."""
+"""Answers stored in bounded memory, for callers that fetch them later."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class AnswerState(StrEnum):
-    """How far a request has come."""
+    """State of a request's answer."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -24,14 +24,16 @@
 
 
 class KeptAnswer:
-    """The answer of one request so far.
+    """The answer of one request, as far as it was received.
 
     Attributes
     ----------
     status
-        HTTP status; zero while there is none.
+        HTTP status; zero until the response head was received.
     refusal
-        Why it was refused, or why it broke off.
+        Why the request was refused or the answer was cut off; None otherwise.
+    ended_ms
+        Router clock time at which the answer ended, in milliseconds; zero until then.
     """
 
     def __init__(self, request: str, workspace: str, *, stream: bool) -> None:
@@ -47,32 +49,32 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will come."""
+        """Whether the answer is in a final state."""
         return self.state in ENDED
 
     @property
     def size(self) -> int:
-        """Bytes that it takes in memory, about."""
+        """Approximate memory use in bytes."""
         return len(self.body) + ANSWER_OVERHEAD
 
     def begin(self, status: int, content_type: str) -> None:
-        """Take the head of the answer."""
+        """Record status and content type."""
         self.state = AnswerState.RUNNING
         self.status = status
         self.content_type = content_type
 
     def restart(self) -> None:
-        """Forget a try that nobody was shown."""
+        """Reset the answer after a failed attempt of which the caller has received nothing."""
         self.state = AnswerState.WAITING
         self.status = 0
         self.body = bytearray()
 
     def finish(self) -> None:
-        """Mark the answer whole."""
+        """Mark the answer complete."""
         self.state = AnswerState.DONE
 
     def refuse(self, refusal: Refusal) -> None:
-        """End with a refusal, or break off what has begun."""
+        """End with a refusal; an answer that has begun is marked as broken."""
         self.state = AnswerState.BROKEN if self.status else AnswerState.REFUSED
         self.refusal = refusal
 
@@ -80,12 +82,19 @@
 class AnswerStore:
     """Answers by request id.
 
-    Past its memory the oldest ended answer goes of the workspace that holds most, so that a flood
-    cannot push out what a small workspace may still ask for.
+    When the memory limit is exceeded, the oldest ended answer of the workspace that uses most
+    memory is evicted, so a workspace that floods the store cannot evict the answers of a small one.
+
+    Parameters
+    ----------
+    memory_bytes
+        Limit on the total size of ended answers.
+    lifetime_ms
+        Time for which an ended answer is stored, in milliseconds.
     """
 
     def __init__(self, memory_bytes: int, lifetime_ms: float) -> None:
-        self._memory = memory_bytes
+        self._memory_bytes = memory_bytes
         self._lifetime_ms = lifetime_ms
         self._answers: dict[str, KeptAnswer] = {}
         self._ended: dict[str, OrderedDict[str, int]] = {}
@@ -98,29 +107,29 @@
 
     @property
     def kept_bytes(self) -> int:
-        """Bytes of ended answers."""
+        """Total size of ended answers in bytes."""
         return self._total
 
     @property
     def evicted(self) -> int:
-        """Answers dropped before their lifetime, for want of memory."""
+        """Number of answers evicted before their lifetime because of the memory limit."""
         return self._evicted
 
     def add(self, answer: KeptAnswer) -> None:
-        """Keep an answer that is still to come."""
+        """Store an answer that has not ended."""
         self._answers[answer.request] = answer
 
     def find(self, request: str, workspace: str) -> KeptAnswer | None:
-        """An answer of this workspace; nobody reads another's."""
+        """Return an answer if it belongs to this workspace, else None."""
         answer = self._answers.get(request)
         return answer if answer is not None and answer.workspace == workspace else None
 
     def remove(self, request: str) -> None:
-        """Drop an answer that nobody can want."""
+        """Drop an answer that no caller can request any more."""
         self._answers.pop(request, None)
 
     def ended(self, answer: KeptAnswer, now_ms: float) -> None:
-        """Count an answer that has ended against the memory."""
+        """Count an ended answer against the memory limit and evict others if needed."""
         if answer.request not in self._answers or answer.ended_ms:
             return
         answer.ended_ms = max(now_ms, 1.0)
@@ -128,7 +137,7 @@
         by_request[answer.request] = answer.size
         self._sizes[answer.workspace] += answer.size
         self._total += answer.size
-        while self._total > self._memory:
+        while self._total > self._memory_bytes:
             self._drop_oldest(max(self._sizes, key=lambda name: self._sizes[name]))
             self._evicted += 1
 
--- a/packages/router/src/tamarack_router/relay.py
+++ b/packages/router/src/tamarack_router/relay.py
@@ -1,7 +1,8 @@
-"""One task that selects over all streams: callers' sockets and endpoints' sockets.
+"""Event loop that relays answers between endpoints' sockets and callers' sockets.
 
-A thread for each stream would pay a wake-up for each token. Here a token costs a read, the
-parser, the framing and a write, and waiting callers are watched for going away.
+One selector serves all streams, because a thread per stream would cost a wake-up per token. Here
+a token costs a read, a parser call, the framing and a write. The selector also detects the
+disconnect of a caller that is still waiting.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 from tamarack_router.timers import Timers
 from tamarack_router.tracing import Tracing, traceparent_of
 
-CHECK_MS = 100.0
+CHECK_INTERVAL_MS = 100.0
 
 _HANDLERS = Handlers()
 handles = _HANDLERS.handles
@@ -59,7 +60,7 @@
     control
         Mailbox of the control task.
     guard
-        Counts held requests per workspace; given back when a request ends.
+        Limits the held requests per workspace; a request's place is released when it ends.
     """
 
     def __init__(
@@ -80,9 +81,9 @@
         self._limits = limits
         self._selector = selectors.DefaultSelector()
         self._held: dict[str, HeldRequest] = {}
-        self._callers = CallerSockets(self._selector, self._nobody_follows)
+        self._callers = CallerSockets(self._selector, self._on_unfollowed)
         self._remote = RemoteAnswers(control)
-        self._followed = FollowedRequests(answers, self._remote, self._callers, self._let_go)
+        self._followed = FollowedRequests(answers, self._remote, self._callers, self._release_held)
         self._runs = RunSockets(clock, self._selector, self._step)
         self._timers = Timers(clock)
         self._counts: Counter[str] = Counter()
@@ -91,12 +92,12 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """Events by name; read by other threads, written by this one."""
+        """Event counts by name; written by the relay thread only, read by others."""
         return self._counts
 
     @property
     def gauges(self) -> dict[str, float]:
-        """Present values for the metrics."""
+        """Current gauge values for the metrics."""
         return {
             "requests_held": self.held,
             "callers_connected": self.followers,
@@ -106,17 +107,17 @@
 
     @property
     def held(self) -> int:
-        """Requests held."""
+        """Number of requests held: accepted and not yet finished."""
         return len(self._held)
 
     @property
     def followers(self) -> int:
-        """Callers that wait for an answer or are being written one."""
+        """Number of callers that wait for an answer or are receiving one."""
         return len(self._callers)
 
     @property
     def busy(self) -> int:
-        """What a graceful stop waits for."""
+        """Number of requests and callers that a graceful shutdown waits for."""
         return self.held + self.followers
 
     # The loop
@@ -144,7 +145,7 @@
         self._timers.run()
         now_ms = self._clock.now_ms
         if now_ms >= self._next_check_ms:
-            self._next_check_ms = now_ms + CHECK_MS
+            self._next_check_ms = now_ms + CHECK_INTERVAL_MS
             self._check(now_ms)
 
     def _check(self, now_ms: float) -> None:
@@ -152,17 +153,17 @@
             if held.run is not None:
                 self._check_run(held, held.run, now_ms)
         for answer in self._remote.check(now_ms):
-            self._holder_silent(answer)
+            self._on_holder_unresponsive(answer)
         self._answers.expire(now_ms)
 
     def _check_run(self, held: HeldRequest, run: Run, now_ms: float) -> None:
         if now_ms >= held.spec.deadline_ms:
             self._counts["deadline_while_running"] += 1
             message = "The deadline passed while the request was running."
-            self._break(held, Refusal(ErrorCode.DEADLINE, message, Outcome.UNKNOWN))
+            self._abort(held, Refusal(ErrorCode.DEADLINE, message, Outcome.UNKNOWN))
         elif run.silent(now_ms):
             self._counts["silent_connections"] += 1
-            self._log.info("A connection is silent.", request=held.spec.request)
+            self._log.info("An endpoint connection timed out.", request=held.spec.request)
             self._step(held, run, run.lost())
         elif run.call.kind == "plain":
             self._report(held, run, now_ms)
@@ -204,14 +205,14 @@
                 self._control.put(RunFinished(message.request, 0.0, USAGE_RETURNED, RELEASED))
             return
         self._counts["runs"] += 1
-        run = self._run(held, "run", message.address, charged=message.charged)
+        run = self._create_run(held, "run", message.address, charged=message.charged)
         run.span.set_attribute("tamarack.endpoint", message.endpoint)
         self._runs.open(held, run)
 
-    def _run(
+    def _create_run(
         self, held: HeldRequest, name: str, address: str, *, charged: float = 0.0, adopted: str = ""
     ) -> Run:
-        """Make the run of a held request, with a span of this name."""
+        """Create the run of a held request, traced by a span called `name`."""
         held.end_wait()
         span = self._tracing.start(name, parent=held.span)
         run = Run(
@@ -235,14 +236,15 @@
             self._drop_run(held)
             held.answer.refuse(message.refusal)
             self._counts[f"refused_{message.refusal.code}"] += 1
-            self._ended(held)
+            self._complete(held)
 
     @handles(FollowRequest)
     def _on_follow(self, message: FollowRequest) -> None:
         held = self._held.get(message.request)
         if held is None:
             if not message.holder:
-                # The caller left before the run was read; whoever asks next can still read it.
+                # The caller disconnected before the run was adopted. Marked as an orphan, the run
+                # can still be adopted by the next request with its key.
                 self._control.put(RunFinished(message.request, 0.0, USAGE_RETURNED, ORPHAN))
             return
         self._counts["followed"] += 1
@@ -255,12 +257,12 @@
             target = self._remote.open(message.holder, workspace, self._clock.now_ms)
             self._followed.add(held, message)
         else:
-            self._let_go(held)
+            self._release_held(held)
         self._answers.remove(message.request)
         self._callers.move(message.request, target)
 
-    def _holder_silent(self, answer: KeptAnswer) -> None:
-        """Read a run at its endpoint when the router that holds its answer is silent."""
+    def _on_holder_unresponsive(self, answer: KeptAnswer) -> None:
+        """Adopt a run at its endpoint when the router that holds its answer does not respond."""
         followed = self._followed.take_readable(answer)
         if followed is None:
             self._remote.lose(answer)
@@ -268,8 +270,8 @@
             return
         self._adopt(followed.held, followed.message)
 
-    def _claim_again(self, correlation: int) -> bool:
-        """Ask the keeper once more when the holder no longer has the request that is followed."""
+    def _retry_claim(self, correlation: int) -> bool:
+        """Claim a key once more when the holder no longer has the request that is followed."""
         held = self._followed.take_unclaimed(correlation)
         if held is None:
             return False
@@ -279,7 +281,9 @@
 
     def _adopt(self, held: HeldRequest, message: FollowRequest) -> None:
         self._counts["adopted"] += 1
-        self._runs.open(held, self._run(held, "adopted run", message.address, adopted=message.run))
+        self._runs.open(
+            held, self._create_run(held, "adopted run", message.address, adopted=message.run)
+        )
 
     @handles(PeerQuery)
     def _on_peer_query(self, message: PeerQuery) -> None:
@@ -290,7 +294,7 @@
 
     @handles(PeerAnswer)
     def _on_peer_answer(self, message: PeerAnswer) -> None:
-        if message.part.state == "gone" and self._claim_again(message.part.correlation):
+        if message.part.state == "gone" and self._retry_claim(message.part.correlation):
             return
         answer = self._remote.take(message.part, self._clock.now_ms)
         if answer is not None:
@@ -298,24 +302,24 @@
 
     # Callers
 
-    def _nobody_follows(self, request: str, gone: bool) -> None:
+    def _on_unfollowed(self, request: str, gone: bool) -> None:
         self._remote.close(request)
         self._followed.stop(request)
         if gone:
-            self._caller_gone(request)
+            self._on_caller_disconnect(request)
 
-    def _caller_gone(self, request: str) -> None:
+    def _on_caller_disconnect(self, request: str) -> None:
         held = self._held.get(request)
         if held is None:
             return
         self._counts["caller_gone"] += 1
         if held.run is None:
             self._control.put(CancelRequest(request))
-            self._forget(held)
+            self._discard(held)
         elif not held.spec.key:
-            # With a key the caller may come back for the answer; without one nobody can.
+            # Only a caller with an idempotency key can fetch the answer later.
             message = "The caller went away."
-            self._break(held, Refusal(ErrorCode.CALLER_GONE, message, Outcome.UNKNOWN))
+            self._abort(held, Refusal(ErrorCode.CALLER_GONE, message, Outcome.UNKNOWN))
 
     # Runs
 
@@ -330,7 +334,7 @@
             self._drop_run(held)
             self._counts["finished"] += 1
             self._control.put(RunFinished(request, cost, USAGE_FINISHED, DONE))
-            self._ended(held)
+            self._complete(held)
         elif step == Step.RESUME:
             self._counts["resumes"] += 1
             self._runs.close(run)
@@ -344,7 +348,7 @@
             self._control.put(RunFailed(request, cost, sent))
         elif step == Step.BROKEN:
             message = "The endpoint failed while the answer was coming."
-            self._break(held, Refusal(ErrorCode.ENDPOINT_FAILED, message, Outcome.UNKNOWN))
+            self._abort(held, Refusal(ErrorCode.ENDPOINT_FAILED, message, Outcome.UNKNOWN))
 
     def _report(self, held: HeldRequest, run: Run, now_ms: float) -> None:
         cost = run.passed_charge(now_ms)
@@ -355,8 +359,8 @@
         if held.run is run and self._held.get(held.spec.request) is held:
             self._runs.open(held, run)
 
-    def _break(self, held: HeldRequest, refusal: Refusal) -> None:
-        """End a run that has begun, and say that its outcome is unknown."""
+    def _abort(self, held: HeldRequest, refusal: Refusal) -> None:
+        """Abort a run that has begun; its refusal reports that the outcome is unknown."""
         run = held.run
         cost = 0.0
         if run is not None:
@@ -368,7 +372,7 @@
         state = USAGE_FAILED if refusal.code == ErrorCode.ENDPOINT_FAILED else USAGE_FINISHED
         self._control.put(RunFinished(held.spec.request, cost, state, UNKNOWN))
         held.answer.refuse(refusal)
-        self._ended(held)
+        self._complete(held)
 
     def _drop_run(self, held: HeldRequest) -> None:
         run = held.run
@@ -377,18 +381,18 @@
             self._runs.close(run)
             run.span.end()
 
-    def _ended(self, held: HeldRequest) -> None:
-        self._forget(held)
+    def _complete(self, held: HeldRequest) -> None:
+        self._discard(held)
         self._answers.ended(held.answer, self._clock.now_ms)
         self._callers.pump(held.answer)
 
-    def _forget(self, held: HeldRequest) -> None:
-        self._let_go(held)
+    def _discard(self, held: HeldRequest) -> None:
+        self._release_held(held)
         if held.answer.state == AnswerState.WAITING:
             self._answers.remove(held.spec.request)
 
-    def _let_go(self, held: HeldRequest) -> None:
-        """Hold a request no longer; its room and its span end with it."""
+    def _release_held(self, held: HeldRequest) -> None:
+        """Stop holding a request: release its place in the share guard and end its spans."""
         self._held.pop(held.spec.request, None)
         self._guard.give_back(held.spec.workspace)
         held.end_wait()
--- a/packages/router/src/tamarack_router/remote_answers.py
+++ b/packages/router/src/tamarack_router/remote_answers.py
@@ -1,4 +1,4 @@
-"""Answers that another router holds, mirrored while callers here follow them."""
+"""Local mirrors of answers held by other routers, kept while local callers follow them."""
 
 from __future__ import annotations
 
@@ -11,83 +11,83 @@
 from tamarack_router.messages import DoubtRouter, PeerMessage
 
 SILENCE_MS = 700.0
-# A holder that lives answers each query within milliseconds, and is asked every 100 ms.
-DOUBT_MS = 150.0
+# A live holder answers each query within milliseconds and is queried every 100 ms.
+PROBE_AFTER_MS = 150.0
 PART_BYTES = 262_144
 LOST_MESSAGE = "The router that held the request does not answer; it will not run again."
 GONE_MESSAGE = "The answer is no longer kept."
 
 
 class _Mirror:
-    """One mirrored answer."""
+    """One mirrored answer and the router that holds the original."""
 
     def __init__(self, answer: KeptAnswer, holder: str, correlation: int, now_ms: float) -> None:
         self.answer = answer
         self.holder = holder
         self.correlation = correlation
-        self.heard_ms = now_ms
+        self.last_reply_ms = now_ms
 
 
 class RemoteAnswers:
-    """Asks holders for what is new of the answers that are followed here."""
+    """Polls the holders for new data of the answers that local callers follow."""
 
     def __init__(self, control: Mailbox) -> None:
         self._control = control
         self._mirrors: dict[str, _Mirror] = {}
         self._by_correlation: dict[int, _Mirror] = {}
-        self._numbers = itertools.count(1)
+        self._correlations = itertools.count(1)
 
     def open(self, request: str, workspace: str, now_ms: float) -> KeptAnswer:
-        """Begin to mirror a request; its id names the router that holds it."""
+        """Start mirroring a request's answer; the request id names the router that holds it."""
         known = self._mirrors.get(request)
         if known is not None and known.answer.workspace == workspace:
             return known.answer
         answer = KeptAnswer(request, workspace, stream=False)
         holder, _, _ = request.partition("~")
-        mirror = _Mirror(answer, holder, next(self._numbers), now_ms)
+        mirror = _Mirror(answer, holder, next(self._correlations), now_ms)
         self._mirrors[request] = mirror
         self._by_correlation[mirror.correlation] = mirror
-        # A caller that comes here for another router's answer may have lost that router.
+        # A caller that asks here for another router's answer may have lost that router.
         self._control.put(DoubtRouter(holder))
-        self._ask(mirror)
+        self._query(mirror)
         return answer
 
     def close(self, request: str) -> None:
-        """Stop mirroring a request that nobody here follows any more."""
+        """Stop mirroring a request that no local caller follows any more."""
         mirror = self._mirrors.pop(request, None)
         if mirror is not None:
             del self._by_correlation[mirror.correlation]
 
     def check(self, now_ms: float) -> list[KeptAnswer]:
-        """Ask again; return answers whose holder is silent."""
+        """Query all holders again; return the answers whose holder does not respond."""
         lost = []
         for mirror in self._mirrors.values():
             if mirror.answer.ended:
                 continue
-            silent_ms = now_ms - mirror.heard_ms
+            silent_ms = now_ms - mirror.last_reply_ms
             if silent_ms >= SILENCE_MS:
                 lost.append(mirror.answer)
                 continue
-            if silent_ms >= DOUBT_MS:
+            if silent_ms >= PROBE_AFTER_MS:
                 self._control.put(DoubtRouter(mirror.holder))
-            self._ask(mirror)
+            self._query(mirror)
         return lost
 
     def find(self, correlation: int) -> KeptAnswer | None:
-        """The answer that is mirrored under a correlation number."""
+        """Return the answer that is mirrored under a correlation number, if any."""
         mirror = self._by_correlation.get(correlation)
         return mirror.answer if mirror is not None else None
 
     def lose(self, answer: KeptAnswer) -> None:
-        """End an answer whose holder is silent, and that cannot be read elsewhere."""
+        """End an answer whose holder does not respond and which no other process can supply."""
         answer.refuse(Refusal(ErrorCode.KEY_UNKNOWN, LOST_MESSAGE, Outcome.UNKNOWN))
 
     def take(self, part: AnswerPart, now_ms: float) -> KeptAnswer | None:
-        """Take in a part; one that was not asked for, or not from here on, is dropped."""
+        """Append a received part; unrequested parts and those at another offset are dropped."""
         mirror = self._by_correlation.get(part.correlation)
         if mirror is None or mirror.answer.ended:
             return None
-        mirror.heard_ms = now_ms
+        mirror.last_reply_ms = now_ms
         answer = mirror.answer
         if part.state == "gone":
             answer.refuse(Refusal(ErrorCode.ANSWER_GONE, GONE_MESSAGE, Outcome.UNKNOWN))
@@ -100,7 +100,7 @@
         answer.body += part.data
         if part.state == AnswerState.WAITING or len(answer.body) < part.total:
             if part.data:
-                self._ask(mirror)
+                self._query(mirror)
             return answer
         self._end(answer, part)
         return answer
@@ -112,14 +112,14 @@
             code = ErrorCode(part.code)
             answer.refuse(Refusal(code, part.explanation, Outcome(part.outcome)))
 
-    def _ask(self, mirror: _Mirror) -> None:
+    def _query(self, mirror: _Mirror) -> None:
         answer = mirror.answer
         query = AnswerQuery(mirror.correlation, answer.workspace, answer.request, len(answer.body))
         self._control.put(PeerMessage(mirror.holder, query))
 
 
 def answer_part(query: AnswerQuery, answer: KeptAnswer | None) -> AnswerPart:
-    """Make a peer's part of an answer kept here."""
+    """Build the reply to a peer's query for an answer stored here."""
     if answer is None:
         return AnswerPart(query.correlation, "gone", 0, "", query.offset, 0, b"")
     data = bytes(answer.body[query.offset : query.offset + PART_BYTES])
--- a/packages/router/src/tamarack_router/run.py
+++ b/packages/router/src/tamarack_router/run.py
@@ -1,4 +1,4 @@
-"""One request's run at an endpoint: the exchange, its resumption, its cost."""
+"""Execution of one request at an endpoint: HTTP exchange, stream resumption and cost."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 CONNECT_MS = 1_000.0
 RESUME_TRIES = 4
 RESUME_PAUSE_MS = 150.0
-EVENT_MARK = b"data: "
+SSE_DATA_PREFIX = b"data: "
 NOT_RUN_HEADER = "endpoint-outcome"
 
 
 class Step(Enum):
-    """What the relay has to do after a run has gone on."""
+    """Next action of the relay after a run has processed an event."""
 
     GREW = 1
     FINISHED = 2
@@ -37,7 +37,15 @@
 
 
 class RunLimits(NamedTuple):
-    """Longest silences, in milliseconds, after which a new connection is tried."""
+    """Read timeouts in milliseconds, after which the run resumes on a new connection.
+
+    Attributes
+    ----------
+    stream_silence_ms
+        For streamed answers.
+    whole_silence_ms
+        For model answers that are sent in one piece.
+    """
 
     stream_silence_ms: float
     whole_silence_ms: float
@@ -49,11 +57,14 @@
     Parameters
     ----------
     answer
-        Where the answer is collected.
+        Buffer that collects the answer.
     traceparent
-        Passed on to the endpoint, empty if not traced.
+        W3C trace context forwarded to the endpoint, empty if not traced.
+    charged
+        Cost units already charged; progress is reported once the cost exceeds them.
     adopted
-        Id of a run that another router began, to read here; empty for a run of one's own.
+        Id of a run that another router started, whose stream is read here; empty for a run that
+        this router starts.
     """
 
     def __init__(
@@ -77,35 +88,36 @@
         self._limits = limits
         self._traceparent = traceparent
         self._resumes = 0
-        # An adopted run was begun by another router; here it is only read, under its own id.
+        # Another router has already sent an adopted run: it is resumed under its original id and
+        # never sent again.
         self._run_id = adopted or answer.request
         self._resuming = bool(adopted)
         self._maybe_sent = bool(adopted)
         self._refused_by_endpoint = False
         self._tokens = 0
-        self._report_at = charged
+        self._report_threshold = charged
         self._connection: EndpointConnection | None = None
 
     @property
     def connection(self) -> EndpointConnection | None:
-        """The connection in use."""
+        """The current connection, if any."""
         return self._connection
 
     @property
     def run_id(self) -> str:
-        """Request id that the endpoint knows the run by."""
+        """Request id under which the endpoint knows the run."""
         return self._run_id
 
     @property
     def sent(self) -> bool:
-        """Whether the endpoint may have the request; its own word that it has not counts."""
+        """Whether the endpoint may have received the request; False if it reported not-run."""
         if self._refused_by_endpoint:
             return False
         return self._maybe_sent or (self._connection is not None and self._connection.sent)
 
     @property
     def resumable(self) -> bool:
-        """Whether the endpoint can be asked for the rest on a new connection."""
+        """Whether the rest of the answer can be requested on a new connection."""
         return self.call.kind == "model" and self.sent and self._resumes < RESUME_TRIES
 
     def cost(self, now_ms: float) -> float:
@@ -115,15 +127,15 @@
         return now_ms - self.started_ms if self.sent else 0.0
 
     def passed_charge(self, now_ms: float) -> float:
-        """Cost so far if it has passed what was charged, else zero."""
+        """Cost so far if it exceeds the next reporting threshold, else zero."""
         cost = self.cost(now_ms)
-        if cost <= self._report_at:
+        if cost <= self._report_threshold:
             return 0.0
-        self._report_at = cost * (1.0 + PROGRESS_STEP)
+        self._report_threshold = cost * (1.0 + PROGRESS_STEP)
         return cost
 
     def open(self, now_ms: float) -> tuple[EndpointConnection, list[ConnectionEvent]]:
-        """Make the first connection, or one that resumes where the answer stands."""
+        """Start the exchange, or resume it at the current length of the answer."""
         self.close()
         self.heard_ms = now_ms
         headers = [("Tamarack-Request-Id", self.answer.request)]
@@ -141,40 +153,40 @@
         return connection, connection.start()
 
     def close(self) -> None:
-        """Close the connection in use."""
+        """Close the current connection."""
         if self._connection is not None:
-            # Remembered past the connection: once a byte may have left, the request is never sent
-            # again, however the attempts to resume it end.
+            # Outlives the connection: once a byte may have been sent, the request is never sent
+            # again, even if every attempt to resume it fails.
             self._maybe_sent = self._maybe_sent or self._connection.sent
             self._connection.close()
             self._connection = None
 
     def silent(self, now_ms: float) -> bool:
-        """Whether nothing came for so long that a new connection should be tried."""
+        """Whether the connect or read timeout has elapsed."""
         connection = self._connection
         if connection is None:
             return False
-        quiet_ms = now_ms - self.heard_ms
+        elapsed_ms = now_ms - self.heard_ms
         if not connection.sent:
-            return quiet_ms >= CONNECT_MS
+            return elapsed_ms >= CONNECT_MS
         if self.call.kind != "model":
             return False
         limit = self._limits.stream_silence_ms
         if not self.call.stream:
             limit = self._limits.whole_silence_ms
-        return quiet_ms >= limit
+        return elapsed_ms >= limit
 
     def lost(self) -> Step:
-        """Decide what follows a connection that broke or fell silent."""
+        """Choose the next step after a connection broke or timed out."""
         if self.resumable:
             self._resumes += 1
             self._resuming = True
             return Step.RESUME
-        shown = self.call.stream and self.answer.status != 0
-        return Step.BROKEN if shown else Step.FAILED
+        partly_delivered = self.call.stream and self.answer.status != 0
+        return Step.BROKEN if partly_delivered else Step.FAILED
 
     def take(self, event: ConnectionEvent, now_ms: float) -> Step:
-        """Take in one event of the connection."""
+        """Process one event of the connection."""
         self.heard_ms = now_ms
         match event:
             case Head(status, headers):
@@ -189,7 +201,7 @@
     def _head(self, status: int, headers: dict[str, str]) -> Step:
         if self._resuming:
             if status != 200:
-                # The endpoint does not know the request (any more): what became of it is unknown.
+                # The endpoint does not know the request, or no longer: its outcome is unknown.
                 self._resumes = RESUME_TRIES
                 return self.lost()
             if not self.answer.status:
@@ -204,7 +216,7 @@
 
     def _body(self, data: bytes) -> Step:
         self.answer.body += data
-        self._tokens += data.count(EVENT_MARK)
+        self._tokens += data.count(SSE_DATA_PREFIX)
         if self._resuming and self._resumes > 1:
             self._resumes = 1
         return Step.GREW
--- a/packages/router/src/tamarack_router/run_sockets.py
+++ b/packages/router/src/tamarack_router/run_sockets.py
@@ -1,4 +1,4 @@
-"""The endpoints' sockets of the relay: connections of the runs in progress."""
+"""The endpoint sockets of the relay: connections of the runs in progress."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 WentOn = Callable[[HeldRequest, Run, Step], None]
 
-# Of the steps that one reading brings, only the first in this order is taken: a run that has
-# ended or failed has nothing to pump.
+# If one read yields several steps, only the first in this order is taken: a run that has ended or
+# failed has nothing more to write.
 STEP_ORDER = (Step.RESUME, Step.FAILED, Step.BROKEN, Step.FINISHED, Step.GREW)
 
 
 class RunSockets:
-    """Runs' connections, watched by the relay's selector.
+    """Connections of the runs, registered with the relay's selector.
 
     Parameters
     ----------
-    went_on
+    on_step
         Called with a held request, its run and the step to take.
     """
 
-    def __init__(self, clock: Clock, selector: selectors.BaseSelector, went_on: WentOn) -> None:
+    def __init__(self, clock: Clock, selector: selectors.BaseSelector, on_step: WentOn) -> None:
         self._clock = clock
         self._selector = selector
-        self._went_on = went_on
+        self._on_step = on_step
 
     def open(self, held: HeldRequest, run: Run) -> None:
-        """Connect a run to its endpoint and watch the connection."""
+        """Connect a run to its endpoint and register the connection."""
         connection, events = run.open(self._clock.now_ms)
         if events:
             self._take(held, run, events)
@@ -41,7 +41,7 @@
         def ready(mask: int) -> None:
             if run.connection is connection and held.run is run:
                 self._take(held, run, connection.ready(mask))
-                self._select_again(run, connection)
+                self._update_interest(run, connection)
 
         self._selector.register(connection.sock, connection.interest, ready)
 
@@ -52,7 +52,7 @@
             self._selector.unregister(connection.sock)
         run.close()
 
-    def _select_again(self, run: Run, connection: EndpointConnection) -> None:
+    def _update_interest(self, run: Run, connection: EndpointConnection) -> None:
         if run.connection is not connection:
             return
         key = self._selector.get_key(connection.sock)
@@ -64,5 +64,5 @@
         steps = {run.take(event, now_ms) for event in events}
         for step in STEP_ORDER:
             if step in steps:
-                self._went_on(held, run, step)
+                self._on_step(held, run, step)
                 return
