--- a/packages/router/src/tamarack_router/__init__.py
+++ b/packages/router/src/tamarack_router/__init__.py
@@ -1,1 +1,1 @@
-"""tamarackd: the router that every entry instance runs."""
+"""tamarackd: the router that runs on every entry instance."""
--- a/packages/router/src/tamarack_router/admin_app.py
+++ b/packages/router/src/tamarack_router/admin_app.py
@@ -25,20 +25,20 @@
 
 BASE = "/admin/v1/"
 MAX_BODY_BYTES = 2_000_000
-CATCH_UP_S = 3.0
+CATCH_UP_TIMEOUT_S = 3.0
 HISTORY_LIMIT = 200
 ROLES = ("read", "operate", "configure")
 
 
 class AdminToken(NamedTuple):
-    """A token with a role; each role may do what the ones before it may."""
+    """An operator's token with its role; each role includes the permissions of the lower ones."""
 
     role: str
     secret: str
 
 
 class AdminApp:
-    """Serves operators from any router."""
+    """Handles the administration API; every router serves it."""
 
     def __init__(
         self,
@@ -63,9 +63,9 @@
         role = self._role_of(call)
         if role is None:
             return refusal_reply(Refusal(ErrorCode.UNAUTHENTICATED, "An admin token is needed."))
-        needed = "read" if call.method == "GET" else self._needed(call)
-        if ROLES.index(role) < ROLES.index(needed):
-            message = f"The token's role is {role}; this needs {needed}."
+        required_role = "read" if call.method == "GET" else self._required_role(call)
+        if ROLES.index(role) < ROLES.index(required_role):
+            message = f"The token's role is {role}; this needs {required_role}."
             return refusal_reply(Refusal(ErrorCode.FORBIDDEN, message))
         try:
             return self._route(call, call.path.removeprefix(BASE).strip("/").split("/"))
@@ -80,7 +80,7 @@
                 return token.role
         return None
 
-    def _needed(self, call: HttpCall) -> str:
+    def _required_role(self, call: HttpCall) -> str:
         operations = ("preset", "drain")
         parts = call.path.removeprefix(BASE).strip("/").split("/")
         return "operate" if parts[0] in operations else "configure"
@@ -174,7 +174,7 @@
     def _switch_preset(self, call: HttpCall, body: Any) -> Reply:
         name = body.get("preset") if isinstance(body, dict) else None
         if not isinstance(name, str):
-            return _bad("The field preset names the preset.")
+            return _bad_request("The field preset names the preset.")
         return self._change(call, [], [], preset=name)
 
     def _batch(self, call: HttpCall, body: Any) -> Reply:
@@ -182,10 +182,10 @@
             puts = [EntryPut(p["kind"], p["name"], p["body"]) for p in body.get("puts", [])]
             deletes = [EntryName(d["kind"], d["name"]) for d in body.get("deletes", [])]
         except (KeyError, TypeError, AttributeError):
-            return _bad("puts have kind, name and body; deletes have kind and name.")
+            return _bad_request("puts have kind, name and body; deletes have kind and name.")
         unknown = sorted(set(body) - {"puts", "deletes", "preset"})
         if unknown:
-            return _bad(f"Unknown fields: {', '.join(unknown)}.")
+            return _bad_request(f"Unknown fields: {', '.join(unknown)}.")
         return self._change(call, puts, deletes, preset=body.get("preset"))
 
     def _drain(self, call: HttpCall, endpoint: str, *, drained: bool) -> Reply:
@@ -198,12 +198,12 @@
         )
 
     def _roll_forward(self, call: HttpCall, version: int) -> Reply:
-        """Accept the content of an earlier version as a new one."""
+        """Commit the content of an earlier version as a new version."""
         old = Configuration()
         while old.version < version:
             changes = self._store.changes_after(old.version)
             if not changes:
-                return _bad(f"There is no version {version}.")
+                return _bad_request(f"There is no version {version}.")
             for data in changes:
                 if old.version < version:
                     old = old.apply(msgspec.msgpack.decode(data, type=Change))
@@ -229,14 +229,14 @@
         try:
             parsed = msgspec.json.decode(body)
         except msgspec.DecodeError:
-            return _bad("The body is not JSON.")
+            return _bad_request("The body is not JSON.")
         reply: Reply = action(call, parsed)
         return reply
 
     def _config(self) -> Configuration:
-        """The newest accepted configuration, not merely the one in force here."""
+        """Return the newest committed configuration; waits until this router has applied it."""
         head = self._store.head()
-        deadline = time.monotonic() + CATCH_UP_S
+        deadline = time.monotonic() + CATCH_UP_TIMEOUT_S
         while self._views.view.config.version < head.version:
             self._platform.poll_now()
             if time.monotonic() > deadline:
@@ -256,9 +256,9 @@
         config = self._config()
         head = self._store.head()
         if if_match and if_match != str(head.version):
-            return _stale(head.version)
+            return _stale_version(head.version)
         if head.version != config.version:
-            return _stale(head.version)
+            return _stale_version(head.version)
         faults = config.check(puts, deletes, preset)
         if faults:
             listed = [fault._asdict() for fault in faults]
@@ -276,13 +276,13 @@
             config.preset if preset is None else preset,
         )
         if not self._store.commit(change, head):
-            return _stale(self._store.head().version)
+            return _stale_version(self._store.head().version)
         self._platform.poll_now()
         self._platform.snapshot_after(config, change)
         return json_reply({"version": change.version, "change": change.id})
 
 
-def _stale(version: int) -> Reply:
+def _stale_version(version: int) -> Reply:
     message = f"Another change came first; the version is now {version}."
     refusal = Refusal(ErrorCode.STALE_VERSION, message)
     reply = refusal_reply(refusal)
@@ -290,5 +290,5 @@
     return reply
 
 
-def _bad(message: str) -> Reply:
+def _bad_request(message: str) -> Reply:
     return refusal_reply(Refusal(ErrorCode.BAD_REQUEST, message))
--- a/packages/router/src/tamarack_router/body_reader.py
+++ b/packages/router/src/tamarack_router/body_reader.py
@@ -1,4 +1,4 @@
-"""Reads a caller's body within its bounds."""
+"""Reads a caller's request body within its size limit."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def read_body(call: HttpCall, limit: int) -> bytes | Refusal:
-    """Read the whole body, or say why it is not taken; its rest is then left unread."""
+    """Read the whole body, or return a refusal and leave the rest of it unread."""
     length = call.content_length
     if length is not None and length > limit:
         return _too_large(limit)
--- a/packages/router/src/tamarack_router/caller_app.py
+++ b/packages/router/src/tamarack_router/caller_app.py
@@ -1,4 +1,4 @@
-"""What callers may ask of a router."""
+"""HTTP API for callers."""
 
 from __future__ import annotations
 
@@ -27,19 +27,21 @@
 
 
 class CallerLimits(NamedTuple):
-    """Bounds of the caller listener."""
+    """Limits of the API for callers: body size in bytes, address lifetime in milliseconds."""
 
     max_body_bytes: int
     address_ttl_ms: int
 
 
 class CallerApp:
-    """Authenticates, classifies and admits; the relay takes what is admitted.
+    """Authenticates, classifies and admits requests, then hands them to the relay.
 
     Parameters
     ----------
+    boot
+        Start time of this router, which distinguishes its incarnations.
     held
-        Guards the requests that the relay holds.
+        Limits the requests per workspace that the relay holds.
     """
 
     def __init__(
@@ -62,22 +64,22 @@
         self._tracing = tracing
         self._limits = limits
         self._closed = False
-        # Ids go over the wire without their router's life; numbers that begin elsewhere in each
-        # life keep a late message of an earlier one from meeting a request of this one.
+        # Ids on the wire omit the router's incarnation. A random first number in each incarnation
+        # keeps a delayed message for an earlier one from matching a request of this one.
         self._numbers = itertools.count(secrets.randbelow(FIRST_NUMBER_BELOW))
         self._counts: Counter[str] = Counter()
 
     @property
     def counts(self) -> Counter[str]:
-        """Calls by what became of them here."""
+        """Number of calls by result."""
         return self._counts
 
     def close(self) -> None:
-        """Take no new requests; those in progress go on."""
+        """Reject new requests; those in progress continue."""
         self._closed = True
 
     def respond(self, call: HttpCall) -> Reply | None:
-        """Answer a call, or hand its socket to the relay."""
+        """Answer a call, or hand its socket to the relay and return None."""
         view = self._views.view
         if call.path == "/healthz":
             return json_reply({"status": "ok"})
@@ -123,7 +125,7 @@
         if view.isolated or view.leaving or not view.ready:
             members = [m for m in members if m.router != self._router]
         own = next((m.caller_address for m in view.members if m.router == self._router), "")
-        # The keeper should not die together with the router that runs the request.
+        # Listed last: the key owner should not fail together with the router that runs the request.
         addresses = sorted(choose_addresses(workspace, members), key=lambda a: a == own)
         answer = {
             "addresses": addresses,
@@ -156,7 +158,7 @@
         call.slow.label(call.sock, workspace)
         body = read_body(call, self._limits.max_body_bytes)
         if isinstance(body, Refusal):
-            # Watched on: the rest of the body is read after the answer.
+            # Stays under the time limit: the rest of the body is read after the answer.
             return self._refuse(body, close=True)
         call.slow.release(call.sock)
         now_ms = self._clock.now_ms
--- a/packages/router/src/tamarack_router/classify.py
+++ b/packages/router/src/tamarack_router/classify.py
@@ -1,4 +1,4 @@
-"""From a caller's request to what is routed: service, call and request spec."""
+"""Classifies a caller's request: service, endpoint call and request spec."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 DEFAULT_PROMPT_WEIGHT = 0.25
 DEFAULT_PRIORITY = 1
 MAX_PRIORITY = 9
-PASSED_HEADERS = ("content-type", "accept", "accept-language", "user-agent")
+FORWARDED_HEADERS = ("content-type", "accept", "accept-language", "user-agent")
 
 
 class Classified(NamedTuple):
-    """A request ready to be queued."""
+    """A valid request, ready to be queued."""
 
     spec: RequestSpec
     call: EndpointCall
@@ -35,25 +35,27 @@
 def classify(
     call: HttpCall, body: bytes, workspace: str, request: str, config: Configuration, now_ms: float
 ) -> Classified | Refusal:
-    """Find the service and the terms of a request; everything that is wrong is a refusal."""
-    terms = _read_terms(call)
-    if isinstance(terms, Refusal):
-        return terms
-    arrival = _Arrival(call, body, workspace, request, config, now_ms, terms)
+    """Determine the service and the options of a request; an invalid one gives a refusal."""
+    options = _read_options(call)
+    if isinstance(options, Refusal):
+        return options
+    incoming = _Incoming(call, body, workspace, request, config, now_ms, options)
     if call.path in COMPLETIONS:
-        return _classify_model(arrival)
-    return _classify_plain(arrival)
+        return _classify_model(incoming)
+    return _classify_plain(incoming)
 
 
-class _Terms(NamedTuple):
+class _Options(NamedTuple):
+    """Options that a request's headers give: key, first attempt, deadline and priority."""
+
     key: str
     first: bool
     deadline_ms: int | None
     priority: int
 
 
-class _Arrival(NamedTuple):
-    """A request as it came, with what its headers ask for."""
+class _Incoming(NamedTuple):
+    """A received request with the options from its headers."""
 
     call: HttpCall
     body: bytes
@@ -61,10 +63,10 @@
     request: str
     config: Configuration
     now_ms: float
-    terms: _Terms
+    options: _Options
 
 
-def _read_terms(call: HttpCall) -> _Terms | Refusal:
+def _read_options(call: HttpCall) -> _Options | Refusal:
     headers = call.headers
     key = headers.get("idempotency-key", "")
     if len(key) > MAX_KEY_BYTES or not key.isprintable():
@@ -72,7 +74,7 @@
     deadline = headers.get("tamarack-deadline-ms")
     if deadline is not None and not (deadline.isdecimal() and 0 < int(deadline) <= 86_400_000):
         return _bad("Tamarack-Deadline-Ms is a number of milliseconds, at least 1.")
-    for name in PASSED_HEADERS:
+    for name in FORWARDED_HEADERS:
         if not headers.get(name, "").isprintable() or not headers.get(name, "").isascii():
             return _bad(f"The header {name} has characters that are not printable ASCII.")
     priority = headers.get("tamarack-priority", str(DEFAULT_PRIORITY))
@@ -81,13 +83,13 @@
     attempt = headers.get("tamarack-attempt", "")
     if attempt and not attempt.isdecimal():
         return _bad("Tamarack-Attempt is a number, 1 for the first attempt.")
-    return _Terms(
+    return _Options(
         key, attempt == "1", int(deadline) if deadline is not None else None, int(priority)
     )
 
 
-def _classify_model(arrival: _Arrival) -> Classified | Refusal:
-    call, body, config = arrival.call, arrival.body, arrival.config
+def _classify_model(incoming: _Incoming) -> Classified | Refusal:
+    call, body, config = incoming.call, incoming.body, incoming.config
     if call.method != "POST":
         return _bad("Completions are asked for by POST.")
     parsed = _read_json(body)
@@ -113,15 +115,15 @@
     prompt_cost = prompt_tokens * entry.get("prompt_weight", DEFAULT_PROMPT_WEIGHT)
     prefix = xxhash.xxh32_intdigest(prompt[:PREFIX_CHARACTERS].encode())
     hint = round(prompt_cost) + limit if limit is not None else 0
-    spec = _spec(arrival, service, entry)
+    spec = _spec(incoming, service, entry)
     endpoint_call = EndpointCall(
-        "POST", call.path, _passed(call), body, "model", stream, prompt_cost
+        "POST", call.path, _forwarded_headers(call), body, "model", stream, prompt_cost
     )
     return Classified(spec._replace(hint=hint, prefix=prefix), endpoint_call)
 
 
-def _classify_plain(arrival: _Arrival) -> Classified | Refusal:
-    call, config = arrival.call, arrival.config
+def _classify_plain(incoming: _Incoming) -> Classified | Refusal:
+    call, config = incoming.call, incoming.config
     service, _, _ = call.path.removeprefix(SERVICES).partition("/")
     entry = config.service(service)
     if entry is None or entry["kind"] != "plain":
@@ -131,34 +133,35 @@
         target = f"/{target}"
     if not _is_visible(target):
         return _bad("The path has characters that a request line may not have.")
-    spec = _spec(arrival, service, entry)
+    spec = _spec(incoming, service, entry)
     return Classified(
-        spec, EndpointCall(call.method, target, _passed(call), arrival.body, "plain", False)
+        spec,
+        EndpointCall(call.method, target, _forwarded_headers(call), incoming.body, "plain", False),
     )
 
 
-def _spec(arrival: _Arrival, service: str, entry: ServiceEntry) -> RequestSpec:
-    call, terms = arrival.call, arrival.terms
-    longest_ms = arrival.config.deadline_ms(service)
-    deadline_ms = arrival.now_ms + min(longest_ms, terms.deadline_ms or longest_ms)
+def _spec(incoming: _Incoming, service: str, entry: ServiceEntry) -> RequestSpec:
+    call, options = incoming.call, incoming.options
+    longest_ms = incoming.config.deadline_ms(service)
+    deadline_ms = incoming.now_ms + min(longest_ms, options.deadline_ms or longest_ms)
     digest = ""
-    if terms.key:
-        digest = xxhash.xxh64_hexdigest(f"{call.method} {call.target}\n".encode() + arrival.body)
+    if options.key:
+        digest = xxhash.xxh64_hexdigest(f"{call.method} {call.target}\n".encode() + incoming.body)
     return RequestSpec(
-        arrival.request,
-        arrival.workspace,
+        incoming.request,
+        incoming.workspace,
         service,
-        terms.key,
-        terms.first,
+        options.key,
+        options.first,
         digest,
         is_repeatable(call.method, call.path, service, entry),
         deadline_ms,
-        terms.priority,
+        options.priority,
     )
 
 
 def is_repeatable(method: str, path: str, service: str, entry: ServiceEntry) -> bool:
-    """Whether an operation may run more than once: reads, and what the service declares."""
+    """Whether an operation may run more than once: a read, or declared so by the service."""
     if method in ("GET", "HEAD", "OPTIONS"):
         return True
     inner = path.removeprefix(f"{SERVICES}{service}")
@@ -191,12 +194,12 @@
     return "\n".join(parts)
 
 
-def _passed(call: HttpCall) -> list[tuple[str, str]]:
-    return [(name, call.headers[name]) for name in PASSED_HEADERS if name in call.headers]
+def _forwarded_headers(call: HttpCall) -> list[tuple[str, str]]:
+    return [(name, call.headers[name]) for name in FORWARDED_HEADERS if name in call.headers]
 
 
 def _is_visible(text: str) -> bool:
-    """Whether a text can stand in a request line; the relay must never meet one that cannot."""
+    """Whether a text is valid in a request line; an invalid one would crash the relay thread."""
     return text.isascii() and text.isprintable() and " " not in text
 
 
--- a/packages/router/src/tamarack_router/config_store.py
+++ b/packages/router/src/tamarack_router/config_store.py
@@ -1,4 +1,4 @@
-"""Configuration as it lies in the table service: a head row and a row for each change."""
+"""Configuration stored in the table service: a head row and one row per change."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 
 
 def change_row_key(version: int) -> str:
-    """Key of a change's row; keys sort as versions do."""
+    """Return the key of a change's row; keys sort in the order of versions."""
     return f"{CHANGE_PREFIX}{version:012d}"
 
 
 class ConfigStore:
-    """Reads and commits configuration."""
+    """Reads and commits configuration in the platform's store."""
 
     def __init__(self, table: TableService, objects: ObjectStore) -> None:
         self._table = table
@@ -70,13 +70,14 @@
     def commit(self, change: Change, head: Head) -> bool:
         """Commit a change after the head; False if another one came first.
 
-        The store can lose its answer after the effect. Then the row of this version is read back
-        until it is known whose change it is; "failed" is never said of one that took effect.
+        The store's response can be lost after the transaction has committed. The row of this
+        version is then read back until its author is known, so that a committed change is never
+        reported as failed.
 
         Raises
         ------
         PlatformError
-            With `effect_unknown` if reading back went on failing.
+            With `effect_unknown` if the row could not be read back.
         """
         snapshot = head.snapshot
         value = {"version": change.version, "preset": change.preset, "snapshot": snapshot}
@@ -94,7 +95,11 @@
         return self._read_back(change)
 
     def save_snapshot(self, config: Configuration) -> None:
-        """Store a snapshot and name it in the head; a race with a change is left to the next."""
+        """Store a snapshot and record its version in the head row.
+
+        If a change is committed at the same time, the head row is left as it is and the next
+        snapshot takes effect instead.
+        """
         head = self.head()
         if config.version <= head.snapshot:
             return
@@ -113,13 +118,14 @@
                 continue
             if row is not None:
                 return bool(row.value["id"] == change.id)
-            # Not there yet: a slow commit may still land, so a condition that fails it is written.
-            if self._close_version(change.version):
+            # The row is absent, but a delayed commit may still arrive: rewriting the head row
+            # makes its condition fail.
+            if self._fence_version(change.version):
                 return False
         raise PlatformError("Whether the change was committed is not known.", effect_unknown=True)
 
-    def _close_version(self, version: int) -> bool:
-        """Make a late commit of `version` fail by touching the head row's version."""
+    def _fence_version(self, version: int) -> bool:
+        """Make a delayed commit of `version` fail by advancing the head row's row version."""
         try:
             head = self.head()
             value = {"version": head.version, "preset": head.preset, "snapshot": head.snapshot}
--- a/packages/router/src/tamarack_router/control.py
+++ b/packages/router/src/tamarack_router/control.py
@@ -58,8 +58,8 @@
 from tamarack_router.platform_task import PlatformTask
 from tamarack_router.view_publisher import ViewPublisher
 
-TICK_MS = 50.0
-VIEW_MS = 250.0
+TICK_INTERVAL_MS = 50.0
+VIEW_INTERVAL_MS = 250.0
 FRAMES_PER_ROUND = 200
 STORE_DOWN_MS = 3_000.0
 
@@ -75,7 +75,9 @@
     relay
         Mailbox of the relay.
     room
-        Gives how many requests the router can still take.
+        Returns the number of further requests that the router can accept.
+    seeds
+        Peer addresses from the settings, used to join the fleet.
     """
 
     def __init__(
@@ -105,15 +107,15 @@
         self._store_answered_ms = clock.now_ms
         self._store_up = False
         self._leaving = False
-        self._read_updates = -1
-        self._shown_changes = -1
+        self._processed_updates = -1
+        self._published_changes = -1
         self._prefix = request_prefix(core.membership.me.router, core.boot)
         self._next_tick_ms = 0.0
         self._next_view_ms = 0.0
         self._log = PartLog("control")
 
     def serve(self, platform: PlatformTask, load: LoadTask) -> None:
-        """Name the tasks that make blocking calls for this one; before it starts."""
+        """Set the tasks that make blocking calls for this one; called before it starts."""
         self._platform = platform
         self._load = load
 
@@ -149,22 +151,22 @@
         _HANDLERS.dispatch(self, self._mailbox.drain())
 
     def _tick(self, now_ms: float) -> None:
-        self._next_tick_ms = now_ms + TICK_MS
+        self._next_tick_ms = now_ms + TICK_INTERVAL_MS
         self._perform(self._core.tick(now_ms))
-        if self._core.membership.updates != self._read_updates:
-            self._read_updates = self._core.membership.updates
+        if self._core.membership.updates != self._processed_updates:
+            self._processed_updates = self._core.membership.updates
             for member in self._core.membership.members[1:]:
                 self._follower.peer_version(member.router, member.config_version)
         self._ask_for_changes(now_ms)
         if now_ms >= self._next_view_ms:
-            self._next_view_ms = now_ms + VIEW_MS
+            self._next_view_ms = now_ms + VIEW_INTERVAL_MS
             self._core.membership.describe(room=self._room())
             self._links.close_idle(now_ms)
             if self._load is not None:
                 self._load.watch(self._core.host.watched())
             self._publish(now_ms)
-        elif self._core.membership.changes != self._shown_changes:
-            # Shown at once: callers are sent to a suspect until the listeners know of it.
+        elif self._core.membership.changes != self._published_changes:
+            # Published at once: until then the listeners still name a suspected router to callers.
             self._publish(now_ms)
 
     def _ask_for_changes(self, now_ms: float) -> None:
@@ -239,12 +241,12 @@
             self._core.configure(config, now_ms)
             self._view.note_applied(config.version, self._clock.wall_ms)
             self._publish(now_ms)
-            self._log.info("A configuration is in force.", version=config.version)
+            self._log.info("A configuration was applied.", version=config.version)
         if self._follower.ready and not was_ready:
             self._log.info("The router is ready.", version=config.version)
 
     def _publish(self, now_ms: float) -> None:
-        self._shown_changes = self._core.membership.changes
+        self._published_changes = self._core.membership.changes
         self._view.publish(now_ms, leaving=self._leaving, store_up=self._store_up)
 
     # Messages
@@ -259,7 +261,7 @@
         self._leaving = True
         self._perform(self._core.leave())
         self._publish(self._clock.now_ms)
-        self._log.info("The router is leaving.")
+        self._log.info("The router is leaving the fleet.")
 
     @handles(SubmitRequest)
     def _on_submit(self, message: SubmitRequest) -> None:
--- a/packages/router/src/tamarack_router/drain.py
+++ b/packages/router/src/tamarack_router/drain.py
@@ -1,22 +1,22 @@
-"""Reads what a caller still sends after its answer, so that the answer can be read."""
+"""Drains a request's unread rest after the response, so that the caller can read it."""
 
 from __future__ import annotations
 
 import contextlib
 import socket
 
-# What a line of 50 Mbit/s carries in the 10 s that a call may take to be sent by default; a longer
-# rest is worth neither the thread nor the processor time.
+# What a 50 Mbit/s line carries in the default time limit of 10 s for a call. Reading a longer rest
+# is not worth the thread and the CPU time.
 DRAIN_BYTES = 64_000_000
 PART_BYTES = 65_536
 
 
 def drain(sock: socket.socket) -> None:
-    """Say that no more answer comes, and throw away a bounded rest of the request.
+    """Close the sending side, then read and discard a bounded rest of the request.
 
-    Closed with a part of the request unread, the system resets the connection and throws the
-    answer away: the caller sees a broken pipe in place of its refusal, and sends the request to
-    other routers. The time is bounded by `SlowCallers`, which watches the call until it is over.
+    If a socket is closed with unread data, the operating system resets the connection and discards
+    the response: the caller sees a broken pipe instead of its refusal, and sends the request to
+    other routers. `SlowCallers` bounds the time, as it watches the call until it is over.
     """
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
--- a/packages/router/src/tamarack_router/fleet_view.py
+++ b/packages/router/src/tamarack_router/fleet_view.py
@@ -1,4 +1,4 @@
-"""What the control task lets the listeners see of its state."""
+"""Snapshot of the control task's state for the listeners."""
 
 from __future__ import annotations
 
@@ -10,18 +10,21 @@
 
 
 class FleetView(NamedTuple):
-    """A snapshot, replaced whole and never changed.
+    """An immutable snapshot; a new one replaces it as a whole.
 
     Attributes
     ----------
     counts
         Events of the core by name.
     gauges
-        Present values by name.
+        Current values by name.
     shares
-        Readings per shard dispatched here.
+        Fair-share state of each shard that this router dispatches.
+    terms
+        Dispatching router and its term, by shard.
     applied
-        When the newest versions came in force here, in milliseconds since the Unix epoch.
+        Time at which this router applied each recent configuration version, in milliseconds
+        since the Unix epoch.
     """
 
     config: Configuration = Configuration()
@@ -39,7 +42,7 @@
 
 
 class ViewHolder:
-    """Holds the newest view; assignment of one reference needs no lock."""
+    """Holds the newest view; replacing one reference is atomic and needs no lock."""
 
     def __init__(self) -> None:
         self._view = FleetView()
--- a/packages/router/src/tamarack_router/handlers.py
+++ b/packages/router/src/tamarack_router/handlers.py
@@ -1,4 +1,4 @@
-"""A registry of the methods that handle a task's messages, filled by a decorator."""
+"""A registry of message handlers, filled by a decorator."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Handlers:
-    """Methods by the type of message that they handle."""
+    """Handler methods by message type."""
 
     def __init__(self) -> None:
         self._methods: dict[type, Callable[..., None]] = {}
 
     def handles(self, kind: type) -> Callable[[H], H]:
-        """Enter a method for a type of message."""
+        """Register the decorated method for a message type."""
 
         def register(method: H) -> H:
             self._methods[kind] = method
@@ -24,7 +24,7 @@
         return register
 
     def dispatch(self, task: Any, messages: list[Any]) -> None:
-        """Hand each message to its method; messages that none handles are passed over."""
+        """Pass each message to its handler; messages without one are ignored."""
         for message in messages:
             method = self._methods.get(type(message))
             if method is not None:
--- a/packages/router/src/tamarack_router/http_listener.py
+++ b/packages/router/src/tamarack_router/http_listener.py
@@ -1,4 +1,4 @@
-"""An HTTP listener with its own threads, on cheroot."""
+"""An HTTP listener with its own threads, built on cheroot."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tamarack_router.logs import PartLog
 from tamarack_router.slow_callers import SlowCallers
 
-# cheroot's own backlog of 5 resets connections when 200 callers arrive at once.
+# With cheroot's default backlog of 5, connections are reset when 200 callers connect at once.
 BACKLOG = 1_024
 MAX_HEADER_BYTES = 16_384
 KEEP_ALIVE_CONNECTIONS = 2_000
@@ -30,13 +30,13 @@
     Attributes
     ----------
     path
-        Decoded, to compare with.
+        Decoded path, for routing.
     target
-        Path and query as the caller wrote them, to pass on.
+        Path and query as the caller sent them, for forwarding.
     headers
-        Names in lower case.
+        Headers by name in lower case.
     slow
-        Watches this call while its body is read.
+        Bounds the time in which this call's body is read.
     """
 
     method: str
@@ -50,25 +50,27 @@
 
     @property
     def content_length(self) -> int | None:
-        """Length that the caller states; None if it states none that is a number."""
+        """The Content-Length; None if it is absent or not a number."""
         text = self.headers.get("content-length", "")
         return int(text) if text.isdecimal() else None
 
 
 class App(Protocol):
-    """What answers the calls of a listener."""
+    """Handles the calls of a listener."""
 
     def respond(self, call: HttpCall) -> Reply | None:
-        """Answer, or take the socket over and give None."""
+        """Answer a call, or take over its socket and return None."""
 
 
 class ListenerLimits(NamedTuple):
-    """Bounds on what a caller may send.
+    """Limits on the threads and on the time in which a call is received.
 
     Attributes
     ----------
     send_ms
-        Longest time for head and body together.
+        Longest time for head and body together, in milliseconds.
+    share_alpha
+        Slow calls of one workspace may hold this many times the free threads.
     """
 
     threads: int
@@ -77,7 +79,7 @@
 
 
 class HttpListener:
-    """Serves an app at an address until it is closed.
+    """Serves an app at an address while its context is open.
 
     Parameters
     ----------
@@ -108,7 +110,7 @@
         )
         self._server.request_queue_size = BACKLOG
         self._server.max_request_header_size = MAX_HEADER_BYTES
-        # The app bounds bodies itself: the library's own refusal does not say "not run".
+        # The app limits bodies itself: the library's own error lacks the outcome "not-run".
         self._server.max_request_body_size = 0
         self._server.keep_alive_conn_limit = KEEP_ALIVE_CONNECTIONS
         self._server.timeout = IDLE_TIMEOUT_S
@@ -137,7 +139,7 @@
 
     @property
     def address(self) -> str:
-        """`IP:PORT` as bound."""
+        """Bound address as `IP:PORT`."""
         host, port = self._server.bind_addr[:2]
         return f"{host}:{port}"
 
@@ -158,18 +160,22 @@
 
 def _gateway_for(app: App, log: PartLog, slow: SlowCallers) -> type:
     class AppGateway(Gateway):
-        """Passes a request to the app, and its reply or its socket on."""
+        """Passes a request to the app, then writes its reply or hands over the socket."""
 
         def respond(self) -> None:
             req = self.req
             if req.response_protocol != "HTTP/1.1":
-                # Without chunks a cut stream would look whole.
-                _write(req, refusal_reply(_refusal("HTTP/1.1 is needed.")))
+                # HTTP/1.0 has no chunked encoding: a truncated stream would look complete.
+                _write(req, refusal_reply(_bad_request("HTTP/1.1 is needed.")))
                 return
             try:
                 reply = app.respond(_call(req, slow))
             except Exception as error:
-                log.error("A call failed.", error=repr(error), path=req.path.decode("latin-1"))
+                log.error(
+                    "A call raised an exception.",
+                    error=repr(error),
+                    path=req.path.decode("latin-1"),
+                )
                 message = "The router failed; whether the request ran is not known."
                 refusal = Refusal(ErrorCode.INTERNAL, message, Outcome.UNKNOWN)
                 reply = refusal_reply(refusal)
@@ -178,7 +184,7 @@
                 if reply.close:
                     drain(req.conn.socket)
                 return
-            # The socket now belongs to another task; cheroot must neither answer nor close.
+            # Another task now owns the socket; cheroot must neither answer nor close it.
             req.sent_headers = True
             req.close_connection = True
             req.conn.linger = True
@@ -186,7 +192,7 @@
     return AppGateway
 
 
-def _refusal(message: str) -> Refusal:
+def _bad_request(message: str) -> Refusal:
     return Refusal(ErrorCode.BAD_REQUEST, message)
 
 
@@ -209,20 +215,20 @@
 
 
 def _write(req: Any, reply: Reply) -> None:
-    req.status = f"{reply.status} {_reason(reply.status)}".encode()
+    req.status = f"{reply.status} {_reason_phrase(reply.status)}".encode()
     req.outheaders = [
         (b"Content-Type", reply.content_type.encode()),
         (b"Content-Length", str(len(reply.body)).encode()),
         *((name.encode(), value.encode("latin-1", "replace")) for name, value in reply.headers),
     ]
-    # The library adds the header, and does not read the rest of the body before the answer.
+    # Makes cheroot add the header and send the answer without reading the rest of the body first.
     req.close_connection = req.close_connection or reply.close
     req.ensure_headers_sent()
     if req.method != b"HEAD":
         req.write(reply.body)
 
 
-def _reason(status: int) -> str:
+def _reason_phrase(status: int) -> str:
     from http import HTTPStatus
 
     try:
@@ -233,6 +239,6 @@
 
 def _error_log(log: PartLog) -> Callable[..., None]:
     def write(message: str = "", level: int = 20, traceback: bool = False) -> None:
-        log.warning("The HTTP library reported a fault.", detail=str(message)[:300])
+        log.warning("The HTTP library reported an error.", detail=str(message)[:300])
 
     return write
--- a/packages/router/src/tamarack_router/http_reply.py
+++ b/packages/router/src/tamarack_router/http_reply.py
@@ -1,4 +1,4 @@
-"""Answers that a listener gives itself."""
+"""HTTP responses that a listener builds itself."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class Reply(NamedTuple):
-    """A whole HTTP answer.
+    """A complete HTTP response.
 
     Attributes
     ----------
     close
-        Whether the connection ends with it: what is left of the request would be read as the
-        next one.
+        Whether to close the connection after it, because the unread rest of the request would be
+        parsed as the next one.
     """
 
     status: int
@@ -27,17 +27,17 @@
 
 
 def json_bytes(value: Any) -> bytes:
-    """Write a value as JSON."""
+    """Encode a value as JSON."""
     return msgspec.json.encode(value)
 
 
 def json_reply(value: Any, status: int = 200) -> Reply:
-    """Answer with JSON."""
+    """Build a reply with a JSON body."""
     return Reply(status, json_bytes(value))
 
 
 def error_body(refusal: Refusal) -> bytes:
-    """The usual error body, as stock clients read it."""
+    """Build an error body in the form that stock OpenAI clients read."""
     error = {
         "message": refusal.message,
         "type": "tamarack_error",
@@ -49,7 +49,7 @@
 
 
 def refusal_reply(refusal: Refusal) -> Reply:
-    """Answer with a refusal."""
+    """Build the reply for a refusal."""
     headers = [("Tamarack-Outcome", refusal.outcome.value)]
     if refusal.retry_after_ms:
         headers.append(("Retry-After", str(max(1, -(-refusal.retry_after_ms // 1000)))))
--- a/packages/router/src/tamarack_router/load_task.py
+++ b/packages/router/src/tamarack_router/load_task.py
@@ -1,4 +1,4 @@
-"""Asks the endpoints that this router dispatches for their load."""
+"""Polls the load of the endpoints that this router dispatches to."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LoadTask(Task):
-    """Polls `GET /load` of the watched endpoints and tells the control task."""
+    """Polls `GET /load` of the watched endpoints and reports it to the control task."""
 
     def __init__(self, control: Mailbox, interval_ms: int) -> None:
         super().__init__({"load": self._run})
@@ -38,7 +38,7 @@
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def watch(self, addresses: dict[str, str]) -> None:
-        """Replace the endpoints to ask."""
+        """Replace the endpoints to poll, given as addresses by name."""
         self._watched = addresses
 
     def _run(self) -> None:
--- a/packages/router/src/tamarack_router/logs.py
+++ b/packages/router/src/tamarack_router/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: short sentences with a fixed prefix for each part."""
+"""Structured logs: short sentences with a fixed prefix per component."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class PartLog:
-    """Log of one part of the router; `relay` writes messages that begin with `relay: `."""
+    """Log of one component; messages of `relay` start with `relay: `."""
 
     def __init__(self, part: str) -> None:
         self._part = part
 
     def debug(self, sentence: str, **fields: Any) -> None:
-        """Log what only a developer wants."""
+        """Log a detail for debugging."""
         self._write("debug", sentence, fields)
 
     def info(self, sentence: str, **fields: Any) -> None:
@@ -26,11 +26,11 @@
         self._write("info", sentence, fields)
 
     def warning(self, sentence: str, **fields: Any) -> None:
-        """Log a fault that the router handles."""
+        """Log a fault that the router handles itself."""
         self._write("warning", sentence, fields)
 
     def error(self, sentence: str, **fields: Any) -> None:
-        """Log a fault that an operator has to mend."""
+        """Log a fault that an operator has to fix."""
         self._write("error", sentence, fields)
 
     def _write(self, level: str, sentence: str, fields: dict[str, Any]) -> None:
@@ -45,7 +45,7 @@
 
 
 def start_logs(level: str) -> None:
-    """Write logs of `level` and above to standard error, a JSON object a line."""
+    """Write logs of `level` and above to standard error, one JSON object per line."""
     global _threshold
     _threshold = LEVELS.index(level)
     eliot.to_file(sys.stderr)
--- a/packages/router/src/tamarack_router/mailbox.py
+++ b/packages/router/src/tamarack_router/mailbox.py
@@ -1,4 +1,4 @@
-"""A queue whose reader can wait on a file descriptor."""
+"""A message queue whose reader can wait on a file descriptor."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class Mailbox:
-    """Messages for one task, from any thread.
+    """Queue of messages to one task; any thread may put messages in.
 
-    The reader selects on `fileno()` beside its own sockets and calls `drain`.
+    The reader selects on `fileno()` together with its own sockets and calls `drain`.
     """
 
     def __init__(self) -> None:
@@ -35,11 +35,11 @@
         self._writer.close()
 
     def fileno(self) -> int:
-        """Descriptor that is readable while messages wait."""
+        """Return a descriptor that is readable while messages are queued."""
         return self._reader.fileno()
 
     def put(self, message: Any) -> None:
-        """Add a message; the reader is woken once for many."""
+        """Add a message; several messages cause a single wake-up."""
         self._queue.put(message)
         if self._signalled:
             return
@@ -48,10 +48,10 @@
             self._writer.send(b"\0")
 
     def drain(self) -> list[Any]:
-        """Take all messages that wait."""
+        """Remove and return all queued messages."""
         with contextlib.suppress(BlockingIOError):
             self._reader.recv(4096)
-        # Cleared before the queue is read: a message put after that signals again.
+        # Cleared before the queue is read, so that a message put meanwhile signals again.
         self._signalled = False
         messages = []
         while True:
--- a/packages/router/src/tamarack_router/mailbox_task.py
+++ b/packages/router/src/tamarack_router/mailbox_task.py
@@ -1,4 +1,4 @@
-"""A task with one thread that other tasks tell what to do by messages."""
+"""A task with one thread that receives messages from other tasks."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from tamarack_router.messages import Stop
 from tamarack_router.task import Task
 
-# Longest wait for the loop to handle `Stop`; one round of it takes milliseconds.
+# Longest wait for the loop to handle `Stop`; one iteration takes milliseconds.
 STOP_WAIT_S = 2.0
 
 
 class MailboxTask(Task):
-    """Runs a loop that reads a mailbox; `Stop` ends it.
+    """Runs a loop that reads a mailbox until it receives `Stop`.
 
     Parameters
     ----------
@@ -28,12 +28,12 @@
 
     @property
     def mailbox(self) -> Mailbox:
-        """Where other tasks put messages for this one."""
+        """Mailbox for messages to this task."""
         return self._mailbox
 
     @property
     def failed(self) -> bool:
-        """Whether the task has ended though nobody asked it to."""
+        """Whether the task has ended without a request to stop."""
         return not self._stopped and not self._alive
 
     def _ask_to_end(self) -> None:
--- a/packages/router/src/tamarack_router/main.py
+++ b/packages/router/src/tamarack_router/main.py
@@ -39,12 +39,12 @@
 EXIT_FAILED = 1
 EXIT_SETTINGS = 2
 DRAIN_POLL_S = 0.05
-LAST_GOSSIP_S = 0.3
-LOG_EVERY = 100
+FINAL_GOSSIP_WAIT_S = 0.3
+LOG_EVERY_POLLS = 100
 
 
 class _Signals:
-    """Counts requests to stop; the second one shortens the wait."""
+    """Handles SIGTERM and SIGINT; a second signal skips the wait for address lifetimes."""
 
     def __init__(self) -> None:
         self._first = threading.Event()
@@ -58,16 +58,16 @@
         self._first.set()
 
     def wait_first(self, timeout_s: float) -> bool:
-        """Wait for the first request to stop."""
+        """Wait for the first signal; return whether it was received."""
         return self._first.wait(timeout_s)
 
     def wait_second(self, timeout_s: float) -> bool:
-        """Wait for the second request to stop."""
+        """Wait for the second signal; return whether it was received."""
         return self._second.wait(timeout_s)
 
 
 class Router:
-    """All tasks of one router, in the order in which they need each other."""
+    """All tasks of one router, started in the order of their dependencies."""
 
     def __init__(self, settings: Settings, clock: Clock) -> None:
         self._settings = settings
@@ -185,24 +185,24 @@
         return listener
 
     def drain(self, signals: _Signals) -> None:
-        """Leave: tell the others, serve while callers hold this address, finish what runs."""
+        """Shut down gracefully: announce it, serve until addresses expire, finish all requests."""
         self.control.mailbox.put(Leave())
-        # Callers keep an address for its time to live; until then they are still served here.
+        # Callers may use this router's address until its time to live has passed.
         signals.wait_second(self._settings.address_ttl_ms / 1000)
         self.caller_app.close()
-        rounds = 0
+        polls = 0
         while self.relay.busy:
             threading.Event().wait(DRAIN_POLL_S)
-            rounds += 1
-            if rounds % LOG_EVERY == 0:
+            polls += 1
+            if polls % LOG_EVERY_POLLS == 0:
                 held, followers = self.relay.held, self.relay.followers
-                self._log.info("Requests are in progress.", held=held, followers=followers)
-        threading.Event().wait(LAST_GOSSIP_S)
-        self._log.info("Nothing is in progress.")
+                self._log.info("Waiting for requests in progress.", held=held, followers=followers)
+        threading.Event().wait(FINAL_GOSSIP_WAIT_S)
+        self._log.info("All requests have finished.")
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run a router until it is told to stop."""
+    """Run a router until it receives a stop signal; return the exit code."""
     parsed, settings = settings_from_process(arguments)
     if isinstance(settings, list):
         for fault in settings:
@@ -219,7 +219,7 @@
             gc.freeze()
             while not signals.wait_first(0.2):
                 if router.control.failed or router.relay.failed:
-                    PartLog("main").error("A task has ended.")
+                    PartLog("main").error("A task has ended unexpectedly.")
                     return EXIT_FAILED
             router.drain(signals)
     except OSError as error:
--- a/packages/router/src/tamarack_router/messages.py
+++ b/packages/router/src/tamarack_router/messages.py
@@ -19,9 +19,9 @@
     Attributes
     ----------
     kind
-        `model` or `plain`, as the service's entry says.
+        `model` or `plain`, from the service's configuration entry.
     stream
-        Whether the answer is handed on as it comes.
+        Whether the answer is forwarded while it is received.
     prompt_cost
         Cost units of the prompt alone.
     """
@@ -36,7 +36,7 @@
 
 
 class HoldRequest(NamedTuple):
-    """A caller's request with its socket, handed to the relay."""
+    """Listener to relay: a caller's request with its socket."""
 
     sock: socket.socket
     spec: RequestSpec
@@ -45,7 +45,7 @@
 
 
 class FollowAnswer(NamedTuple):
-    """A caller's socket that wants the answer of a request, from an offset."""
+    """Listener to relay: write a request's answer from an offset; -1 asks for its state only."""
 
     sock: socket.socket
     workspace: str
@@ -54,13 +54,13 @@
 
 
 class SubmitRequest(NamedTuple):
-    """Relay to control: take up this request."""
+    """Relay to control: queue this request."""
 
     spec: RequestSpec
 
 
 class CancelRequest(NamedTuple):
-    """Relay to control: the caller of a waiting request is gone."""
+    """Relay to control: the caller of a waiting request has disconnected."""
 
     request: str
 
@@ -73,7 +73,7 @@
 
 
 class RunFinished(NamedTuple):
-    """Relay to control: a run has ended, with its usage state and the state of its key."""
+    """Relay to control: a run has ended; gives its cost, usage state and key state."""
 
     request: str
     cost: float
@@ -82,7 +82,7 @@
 
 
 class RunFailed(NamedTuple):
-    """Relay to control: an endpoint failed a run that has shown its caller nothing yet.
+    """Relay to control: a run failed before its caller received any part of the answer.
 
     Attributes
     ----------
@@ -110,33 +110,33 @@
 
 
 class DoubtRouter(NamedTuple):
-    """Relay to control: find out at once whether a router still answers."""
+    """Relay to control: probe a router at once, as it may have failed."""
 
     router: str
 
 
 class PeerQuery(NamedTuple):
-    """Control to relay: a peer asks for an answer kept here."""
+    """Control to relay: a peer requests an answer stored here."""
 
     sender: str
     query: AnswerQuery
 
 
 class PeerAnswer(NamedTuple):
-    """Control to relay: a peer's part of an answer."""
+    """Control to relay: a part of an answer, received from a peer."""
 
     part: AnswerPart
 
 
 class LoadRead(NamedTuple):
-    """Load task to control: an endpoint's report."""
+    """Load task to control: an endpoint's load report."""
 
     endpoint: str
     load: LoadReport
 
 
 class HeadRead(NamedTuple):
-    """Platform task to control: the head version, None if the store did not answer."""
+    """Platform task to control: the head version, None if the store did not respond."""
 
     version: int | None
     store_up: bool
@@ -150,7 +150,7 @@
 
 
 class RowClaimed(NamedTuple):
-    """Platform task to control: the answer to a claim by row."""
+    """Platform task to control: the result of claiming a key in the table service."""
 
     claim: ClaimRow
     answer: ClaimAnswer
@@ -168,4 +168,4 @@
 
 
 class Stop(NamedTuple):
-    """End of a task."""
+    """Any task: end the loop."""
--- a/packages/router/src/tamarack_router/metrics_app.py
+++ b/packages/router/src/tamarack_router/metrics_app.py
@@ -1,4 +1,4 @@
-"""Metrics in the Prometheus text format, and health."""
+"""Prometheus metrics, health and readiness."""
 
 from __future__ import annotations
 
@@ -19,10 +19,9 @@
 
 
 class MetricsApp:
-    """Renders what the tasks have counted.
+    """Renders the tasks' counters and gauges.
 
-    Each task counts in a counter of its own that only it writes; a scrape copies them, so that
-    no lock stands in a hot path.
+    Each task writes only its own counter and a scrape copies them, so no hot path takes a lock.
     """
 
     def __init__(
@@ -38,7 +37,7 @@
         self._gauges = gauges
 
     def respond(self, call: HttpCall) -> Reply:
-        """Answer a scrape or a probe."""
+        """Answer a scrape or a health probe."""
         view = self._views.view
         if call.path == "/healthz":
             return json_reply({"status": "ok"})
@@ -51,7 +50,7 @@
         return json_reply({"error": "not found", "router": view.token.router}, 404)
 
     def _state(self) -> dict[str, Any]:
-        """What tools read: the same as the metrics, as JSON."""
+        """Return the state for tools: counters, gauges and versions for a JSON reply."""
         view = self._views.view
         counts = {part: dict(source()) for part, source in self._sources.items()}
         return {
--- a/packages/router/src/tamarack_router/openapi.py
+++ b/packages/router/src/tamarack_router/openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI document of the administration API, built from a table and the entries' types."""
+"""The OpenAPI document of the administration API, built from its operations and entry types."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     Attributes
     ----------
     role
-        Least role that a token needs.
+        Lowest role that a token must have.
     body
-        Name of a schema, empty where there is no body.
+        Name of the body's schema, empty if there is no body.
     """
 
     method: str
@@ -45,7 +45,7 @@
 
 
 def document() -> dict[str, Any]:
-    """The whole document."""
+    """Build the OpenAPI document."""
     paths: dict[str, Any] = {}
     for operation in [*OPERATIONS, *_entry_operations()]:
         path = paths.setdefault(f"/admin/v1{operation.path}", {})
--- a/packages/router/src/tamarack_router/order_task.py
+++ b/packages/router/src/tamarack_router/order_task.py
@@ -1,4 +1,4 @@
-"""Gives orders to engines while this router holds the orderer's lease."""
+"""Sends orders to engines while this router holds the orderer's lease."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class OrderTask(Task):
-    """Follows the lease, reads engines back and sends what the planner wants."""
+    """Acquires the lease, reads the state of engines and sends the planned orders."""
 
     def __init__(
         self, router: str, clock: Clock, views: ViewHolder, table: TableService, interval_ms: int
@@ -42,27 +42,27 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Orders by what became of them."""
+        """Number of orders by result, and of leases acquired."""
         return self._counts
 
     def _run(self) -> None:
         while not self._ending.wait(self._interval_s):
             view = self._views.view
             usable = [m.router for m in view.members if m.state == ALIVE]
-            chosen = winner("orderer", usable) == self._router
-            if not view.ready or view.leaving or not chosen or not _has_loads(view.config):
+            is_candidate = winner("orderer", usable) == self._router
+            if not view.ready or view.leaving or not is_candidate or not _has_loads(view.config):
                 self._lease.give_up()
                 self._counts["holds"] = 0
                 continue
             try:
-                self._follow_lease()
+                self._update_lease()
             except PlatformError:
-                self._log.debug("The lease could not be followed.")
+                self._log.debug("The orderer's lease could not be read or renewed.")
             self._counts["holds"] = int(self._lease.may_send(self._clock.now_ms))
             if self._counts["holds"]:
-                self._give_orders(view.config)
+                self._send_orders(view.config)
 
-    def _follow_lease(self) -> None:
+    def _update_lease(self) -> None:
         row = self._table.read(TABLE, ROW)
         seen = LeaseRow(row.value["holder"], row.value["fence"], row.version) if row else None
         self._lease.observe(seen, self._clock.now_ms)
@@ -76,21 +76,21 @@
                 [Condition(TABLE, ROW, step.if_version)], [Write(TABLE, ROW, value)]
             )
         except PlatformError:
-            # The write may have taken effect. Holding on as if it had not is safe, since the
-            # lease then only ends early; holding on as if it had would not be.
+            # The write may have taken effect. Assuming that it did not is safe: the lease then only
+            # ends early. Assuming that it did could keep a lease that another router holds.
             raise
         if not won:
             self._lease.give_up()
             return
         if step.row.fence != self._lease.fence:
             self._counts["leases"] += 1
-            self._log.info("The router holds the orderer's lease.", fence=step.row.fence)
+            self._log.info("The orderer's lease was acquired.", fence=step.row.fence)
         self._lease.written(step, sent_ms)
 
-    def _give_orders(self, config: Configuration) -> None:
+    def _send_orders(self, config: Configuration) -> None:
         observed = {name: self._read(config, name) for name in wanted_models(config)}
         for order in plan_orders(config, observed):
-            # A pause can come between any two sends; the lease is asked before each.
+            # The process can be paused between two sends, so the lease is checked before each.
             if not self._lease.may_send(self._clock.now_ms):
                 return
             self._send(config, order)
@@ -126,7 +126,7 @@
                 "POST", url, body=json.dumps(body).encode(), headers=headers
             )
         except urllib3.exceptions.HTTPError:
-            # Whether it took effect shows when the engine is read back.
+            # Whether the order took effect is seen when the engine's state is read next.
             self._counts["failed"] += 1
             return
         self._counts["sent" if response.status == 200 else "refused"] += 1
@@ -134,5 +134,5 @@
 
 
 def _has_loads(config: Configuration) -> bool:
-    """Whether any preset says what engines are to load; else there is nothing to order."""
+    """Whether any preset assigns models to engines; otherwise there is nothing to order."""
     return any(preset.get("loads") for preset in config.entries("preset").values())
--- a/packages/router/src/tamarack_router/peer_links.py
+++ b/packages/router/src/tamarack_router/peer_links.py
@@ -1,4 +1,4 @@
-"""Sockets to the other routers."""
+"""ZeroMQ sockets to the other routers."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 from tamarack_core.wire import encode
 
-SEND_LIMIT = 10_000
+QUEUE_LIMIT_MESSAGES = 10_000
 HEARTBEAT_MS = 2_000
 HEARTBEAT_TIMEOUT_MS = 6_000
 CLOSE_LINGER_MS = 300
-IDLE_MS = 5_000.0
+IDLE_CONNECTION_MS = 5_000.0
 MAX_FRAME_BYTES = 4_000_000
 
 
 class CurveKeys(NamedTuple):
-    """Key pair that all routers of a fleet share, in Z85."""
+    """CURVE key pair that all routers of a fleet share, in Z85."""
 
     public: str
     secret: str
 
 
 class Received(NamedTuple):
-    """A frame and the router whose connection it came by."""
+    """A frame with the router and the incarnation that sent it."""
 
     sender: str
     boot: int
@@ -34,12 +34,16 @@
 
 
 class PeerLinks:
-    """One bound socket for what comes in, and one connection per peer that is spoken to.
+    """One bound socket for incoming frames, and one outgoing connection per peer.
 
     Parameters
     ----------
+    boot
+        Start time of this router, which distinguishes its incarnations.
     listen
-        Address as `IP:PORT`; port 0 takes a free one.
+        Address as `IP:PORT`; port 0 selects a free one.
+    curve
+        Keys for encrypted and authenticated connections; None for plain ones.
     """
 
     def __init__(
@@ -54,7 +58,7 @@
             self._authenticator = self._start_authenticator(curve)
         self._inbound = self._context.socket(zmq.ROUTER)
         self._inbound.setsockopt(zmq.MAXMSGSIZE, MAX_FRAME_BYTES)
-        self._inbound.setsockopt(zmq.RCVHWM, SEND_LIMIT)
+        self._inbound.setsockopt(zmq.RCVHWM, QUEUE_LIMIT_MESSAGES)
         if curve is not None:
             self._secure(self._inbound, curve, server=True)
         host, _, port = listen.rpartition(":")
@@ -64,7 +68,7 @@
             self._inbound.bind(f"tcp://{listen}")
         self._address = f"{host}:{port}"
         self._connections = 0
-        self._used_ms: dict[str, float] = {}
+        self._last_sent_ms: dict[str, float] = {}
         self._peers: dict[str, tuple[str, zmq.Socket[bytes]]] = {}
         self._counts: Counter[str] = Counter()
         self._bytes_by_kind: Counter[str] = Counter()
@@ -97,16 +101,16 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """Frames and bytes in and out."""
+        """Number of frames, messages and bytes received and sent."""
         return self._counts
 
     @property
     def bytes_by_kind(self) -> Counter[str]:
-        """Bytes sent by kind of message."""
+        """Bytes sent by message type."""
         return self._bytes_by_kind
 
     def receive(self) -> Received | None:
-        """Take one frame that waits, None if there is none."""
+        """Return the next queued frame, None if there is none."""
         try:
             parts = self._inbound.recv_multipart(zmq.NOBLOCK)
         except zmq.Again:
@@ -120,7 +124,7 @@
         return Received(names[0], int(names[1]), parts[-1])
 
     def send(self, router: str, address: str, messages: list[Any], now_ms: float = 0.0) -> None:
-        """Send messages as one frame; a peer that takes nothing loses them, counted."""
+        """Send messages as one frame; it is dropped and counted if the peer's queue is full."""
         data = encode(messages)
         self._counts["messages_out"] += len(messages)
         self._counts["bytes_out"] += len(data)
@@ -128,24 +132,28 @@
         self._bytes_by_kind[type(messages[0]).__name__] += len(data)
         try:
             sock = self._connect(router or address, address)
-            self._used_ms[router or address] = now_ms
+            self._last_sent_ms[router or address] = now_ms
             sock.send(data, zmq.NOBLOCK)
         except zmq.Again:
             self._counts["frames_dropped"] += 1
 
     def close_idle(self, now_ms: float) -> None:
-        """Close connections that nothing was sent on for a while.
+        """Close connections that have been idle for `IDLE_CONNECTION_MS`.
 
-        Probes reach every member in turn; kept open, connections to a whole fleet would take
-        most of a router's memory.
+        Membership probes reach every router in turn; connections to the whole fleet, if left open,
+        would take most of a router's memory.
         """
-        for name in [n for n, used_ms in self._used_ms.items() if now_ms - used_ms >= IDLE_MS]:
+        for name in [
+            n
+            for n, last_sent_ms in self._last_sent_ms.items()
+            if now_ms - last_sent_ms >= IDLE_CONNECTION_MS
+        ]:
             self.drop(name)
 
     def drop(self, router: str) -> None:
         """Close the connection to a peer; the next message opens a new one."""
         known = self._peers.pop(router, None)
-        self._used_ms.pop(router, None)
+        self._last_sent_ms.pop(router, None)
         if known is not None:
             known[1].close(linger=CLOSE_LINGER_MS)
 
@@ -155,12 +163,12 @@
             return known[1]
         self.drop(router)
         sock: zmq.Socket[bytes] = self._context.socket(zmq.DEALER)
-        # The identity goes over once a connection, so that frames need not name their sender.
-        # Each connection has one of its own: two with the same would displace each other.
+        # The identity is sent once per connection, so frames need not name their sender. It is
+        # unique per connection, since two connections with one identity would displace each other.
         self._connections += 1
         identity = f"{self._router}~{self._boot}~{self._connections}"
         sock.setsockopt(zmq.ROUTING_ID, identity.encode())
-        sock.setsockopt(zmq.SNDHWM, SEND_LIMIT)
+        sock.setsockopt(zmq.SNDHWM, QUEUE_LIMIT_MESSAGES)
         sock.setsockopt(zmq.LINGER, CLOSE_LINGER_MS)
         sock.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
         sock.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
@@ -175,8 +183,8 @@
 
         authenticator = ThreadAuthenticator(self._context)
         authenticator.start()
-        # Only holders of the fleet's own key may join; without a list any key pair could.
-        authenticator.configure_curve_callback("*", _OnlyKey(curve.public.encode()))
+        # Only the fleet's own key may connect; without a callback any key pair could.
+        authenticator.configure_curve_callback("*", _SingleKeyAuthenticator(curve.public.encode()))
         return authenticator
 
     def _secure(self, sock: zmq.Socket[bytes], curve: CurveKeys, *, server: bool) -> None:
@@ -188,12 +196,12 @@
             sock.curve_serverkey = curve.public.encode()
 
 
-class _OnlyKey:
-    """Lets one key pass."""
+class _SingleKeyAuthenticator:
+    """Accepts a single CURVE key."""
 
     def __init__(self, public: bytes) -> None:
         self._public = public
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Whether a peer's key, in Z85, is the fleet's."""
+        """Return whether a peer's key, in Z85, is the fleet's."""
         return key == self._public
--- a/packages/router/src/tamarack_router/platform.py
+++ b/packages/router/src/tamarack_router/platform.py
@@ -1,4 +1,4 @@
-"""Clients of the platform's services, by their HTTP protocol (docs/platform.md)."""
+"""HTTP clients of the platform's services (protocol: docs/platform.md)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,13 @@
 
 
 class PlatformError(Exception):
-    """A platform service did not answer as it should."""
+    """A call to a platform service failed.
+
+    Attributes
+    ----------
+    effect_unknown
+        Whether the call may have taken effect although it failed.
+    """
 
     def __init__(self, message: str, *, effect_unknown: bool = False) -> None:
         super().__init__(message)
@@ -21,7 +27,7 @@
 
 
 class Row(NamedTuple):
-    """A row of the table service with its version."""
+    """A row of the table service with its row version."""
 
     key: str
     version: int
@@ -29,7 +35,7 @@
 
 
 class Condition(NamedTuple):
-    """A row has this version; zero means that it is absent."""
+    """Requires that a row has this version; zero requires that it is absent."""
 
     table: str
     key: str
@@ -37,7 +43,7 @@
 
 
 class Write(NamedTuple):
-    """A row to write, or to delete where the value is None."""
+    """A row to write, or to delete if the value is None."""
 
     table: str
     key: str
@@ -56,27 +62,27 @@
         )
 
     def read(self, table: str, key: str) -> Row | None:
-        """Read one row, None if it is absent."""
+        """Read one row; return None if it is absent."""
         status, body = self._call("GET", f"/tables/{table}/rows/{quote(key, safe='')}")
         if status == 404:
             return None
-        _expect(status, 200)
+        _check_status(status, 200)
         return Row(body["key"], body["version"], body["value"])
 
     def scan(self, table: str, after: str, limit: int = 200) -> list[Row]:
-        """Read rows whose keys come after `after`, in order."""
+        """Read rows whose keys sort after `after`, in key order."""
         path = f"/tables/{table}/rows?after={quote(after, safe='')}&limit={limit}"
         status, body = self._call("GET", path)
-        _expect(status, 200)
+        _check_status(status, 200)
         return [Row(row["key"], row["version"], row["value"]) for row in body["rows"]]
 
     def transact(self, conditions: list[Condition], writes: list[Write]) -> bool:
-        """Write all rows if all conditions hold; False if one does not.
+        """Write all rows if all conditions hold; return False if one does not.
 
         Raises
         ------
         PlatformError
-            With `effect_unknown` if the writes may have taken effect all the same.
+            With `effect_unknown` if the writes may have taken effect.
         """
         body = {
             "conditions": [condition._asdict() for condition in conditions],
@@ -85,7 +91,7 @@
         status, _ = self._call("POST", "/transact", body)
         if status == 409:
             return False
-        _expect(status, 200)
+        _check_status(status, 200)
         return True
 
     def _call(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
@@ -119,7 +125,7 @@
         self._call("PUT", name, data)
 
     def get(self, name: str) -> bytes | None:
-        """Read an object, None if it is absent."""
+        """Read an object; return None if it is absent."""
         return self._call("GET", name, None)
 
     def _call(self, method: str, name: str, data: bytes | None) -> bytes | None:
@@ -130,12 +136,12 @@
             raise PlatformError("The object store did not answer.") from error
         if response.status == 404:
             return None
-        _expect(response.status, 200)
+        _check_status(response.status, 200)
         return response.data
 
 
 class InstanceList:
-    """Client of the platform's list of live and leaving instances; it lags."""
+    """Client of the platform's list of live and leaving instances, which may be out of date."""
 
     def __init__(self, base_url: str) -> None:
         self._url = f"{base_url.rstrip('/')}/instances"
@@ -145,16 +151,16 @@
         )
 
     def read(self) -> list[dict[str, str]]:
-        """Instances with name, kind, address, peer_address and state."""
+        """Read the instances with name, kind, address, peer_address and state."""
         try:
             response = self._http.request("GET", self._url)
-            _expect(response.status, 200)
+            _check_status(response.status, 200)
             instances: list[dict[str, str]] = json.loads(response.data)["instances"]
         except (urllib3.exceptions.HTTPError, ValueError, KeyError) as error:
             raise PlatformError("The instance list did not answer.") from error
         return instances
 
 
-def _expect(status: int, wanted: int) -> None:
+def _check_status(status: int, wanted: int) -> None:
     if status != wanted:
         raise PlatformError(f"The platform answered {status}.", effect_unknown=status >= 500)
--- a/packages/router/src/tamarack_router/platform_task.py
+++ b/packages/router/src/tamarack_router/platform_task.py
@@ -1,4 +1,4 @@
-"""Blocking calls to the platform, made beside the control task."""
+"""Blocking calls to the platform, made in threads apart from the control task."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 
 
 class PlatformTask(Task):
-    """Polls the head and the instance list, and carries out single calls.
+    """Polls the configuration head and the instance list, and makes single calls on request.
 
-    Results go to the control task's mailbox.
+    Results are sent to the control task's mailbox.
     """
 
     def __init__(
@@ -59,23 +59,23 @@
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def poll_now(self) -> None:
-        """Read the head at once."""
+        """Poll the head row without waiting for the interval."""
         self._wake.set()
 
     def read_changes(self, after: int) -> None:
-        """Read the changes after a version; a cold router starts from the newest snapshot."""
+        """Read the changes after a version; version 0 starts from the newest snapshot."""
         self._pool.submit(self._read_changes, after)
 
     def claim(self, claim: ClaimRow) -> None:
-        """Claim a key by a row."""
+        """Claim an idempotency key by inserting its row."""
         self._pool.submit(self._claim, claim)
 
     def row_done(self, done: RowDone) -> None:
-        """Record how the run of a key ended."""
+        """Record the final state of a key's run."""
         self._pool.submit(self._row_done, done)
 
     def snapshot_after(self, config: Configuration, change: Change) -> None:
-        """Store a snapshot if the change's version calls for one."""
+        """Store a snapshot if the change's version is a multiple of `SNAPSHOT_EVERY`."""
         if change.version % SNAPSHOT_EVERY == 0:
             self._pool.submit(self._save_snapshot, config.apply(change))
 
@@ -83,15 +83,17 @@
         try:
             self._store.save_snapshot(config)
         except PlatformError:
-            self._log.warning("A snapshot could not be stored.", version=config.version)
+            self._log.warning(
+                "A configuration snapshot could not be stored.", version=config.version
+            )
 
     def _poll_head(self) -> None:
         while not self._ending.is_set():
             try:
-                self._note(True)
+                self._log_store_change(True)
                 self._control.put(HeadRead(self._store.head().version, True))
             except PlatformError:
-                self._note(False)
+                self._log_store_change(False)
                 self._control.put(HeadRead(None, False))
             self._wake.wait(self._poll_s)
             self._wake.clear()
@@ -111,9 +113,11 @@
                 self._log.debug("The instance list did not answer.")
             self._ending.wait(INSTANCE_INTERVAL_S)
 
-    def _note(self, up: bool) -> None:
+    def _log_store_change(self, up: bool) -> None:
         if self._up is not None and up != self._up:
-            self._log.warning("The store answers." if up else "The store does not answer.")
+            self._log.warning(
+                "The store is reachable again." if up else "The store is unreachable."
+            )
         self._up = up
 
     def _read_changes(self, after: int) -> None:
@@ -122,7 +126,7 @@
             start = snapshot.version if snapshot is not None else after
             self._control.put(ChangesRead(snapshot, self._store.changes_after(start)))
         except PlatformError:
-            self._log.debug("Changes could not be read.")
+            self._log.debug("Configuration changes could not be read.")
 
     def _claim(self, claim: ClaimRow) -> None:
         row_key = f"{claim.workspace}/{claim.key}"
@@ -131,13 +135,13 @@
             fresh = self._table.transact(
                 [Condition(KEYS, row_key, 0)], [Write(KEYS, row_key, value)]
             )
-            state, holder = (FRESH, claim.request) if fresh else self._held(row_key, claim)
+            state, holder = (FRESH, claim.request) if fresh else self._read_holder(row_key, claim)
         except PlatformError as error:
-            state, holder = self._after_error(error, row_key, claim)
+            state, holder = self._resolve_error(error, row_key, claim)
         answer = ClaimAnswer(claim.request, state, holder)
         self._control.put(RowClaimed(claim, answer))
 
-    def _held(self, row_key: str, claim: ClaimRow) -> tuple[str, str]:
+    def _read_holder(self, row_key: str, claim: ClaimRow) -> tuple[str, str]:
         row = self._table.read(KEYS, row_key)
         if row is None:
             return "store-down", ""
@@ -156,13 +160,15 @@
         )
         return (FRESH, claim.request) if won else ("store-down", "")
 
-    def _after_error(self, error: PlatformError, row_key: str, claim: ClaimRow) -> tuple[str, str]:
-        # The claim may have taken effect though its answer was lost; the row says whose it is.
+    def _resolve_error(
+        self, error: PlatformError, row_key: str, claim: ClaimRow
+    ) -> tuple[str, str]:
+        # The claim may have taken effect although the response was lost; the row names the holder.
         if error.effect_unknown:
             try:
-                return self._held(row_key, claim)
+                return self._read_holder(row_key, claim)
             except PlatformError:
-                self._log.debug("A claim could not be read back.")
+                self._log.debug("The row of a claim could not be read back.")
         return "store-down", ""
 
     def _row_done(self, done: RowDone) -> None:
@@ -175,4 +181,4 @@
                     [Condition(KEYS, row_key, row.version)], [Write(KEYS, row_key, value)]
                 )
         except PlatformError:
-            self._log.debug("The end of a key could not be recorded.")
+            self._log.debug("The final state of a key could not be recorded.")
--- a/packages/router/src/tamarack_router/reference.py
+++ b/packages/router/src/tamarack_router/reference.py
@@ -1,4 +1,4 @@
-"""Writes the reference of settings and configuration entries from their definitions."""
+"""Generates the reference page of settings, configuration entries and error codes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def reference() -> str:
-    """The whole page as Markdown."""
+    """Return the page as Markdown."""
     return "\n".join([*_intro(), *_settings(), *_entries(), *_codes(), ""])
 
 
--- a/packages/router/src/tamarack_router/settings.py
+++ b/packages/router/src/tamarack_router/settings.py
@@ -1,4 +1,4 @@
-"""Settings of tamarackd: flags and environment variables, checked all at once."""
+"""Settings of tamarackd from flags and environment variables; all faults are reported at once."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SettingsFault(NamedTuple):
-    """A setting that cannot be used, and why."""
+    """An invalid setting and the reason."""
 
     setting: str
     message: str
@@ -66,14 +66,14 @@
 
 
 class Setting(NamedTuple):
-    """One setting: how it is written and checked.
+    """Name, parser, default and help text of one setting.
 
     Attributes
     ----------
     default
-        Text of the default; None if the setting must be given.
+        Text of the default; None if the setting is required.
     secret
-        Read from the environment or a file only, never from a flag, never printed.
+        Read from the environment or a file only, never from a flag, and never printed.
     """
 
     name: str
@@ -246,7 +246,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """The command line of tamarackd."""
+    """Build the command-line parser of tamarackd."""
     parser = argparse.ArgumentParser(
         prog="tamarackd",
         description="Router of a tamarackturn fleet. Every flag has an environment variable.",
@@ -271,7 +271,7 @@
 def read_settings(
     flags: Mapping[str, str | None], environment: Mapping[str, str]
 ) -> Settings | list[SettingsFault]:
-    """Take each setting from its flag, its variable or its default; report every fault."""
+    """Read each setting from its flag, variable or default; return all faults if there are any."""
     values: dict[str, Any] = {}
     faults: list[SettingsFault] = []
     for setting in SETTINGS:
@@ -282,12 +282,12 @@
             values[setting.name] = setting.parse(text)
         except ValueError as error:
             faults.append(SettingsFault(setting.flag, str(error)))
-    faults.extend(_check_together(values))
+    faults.extend(_check_pairs(values))
     return faults if faults else Settings(**values)
 
 
 def printable(settings: Settings) -> list[str]:
-    """The settings as lines, without secrets."""
+    """Return the settings as lines, without secrets."""
     lines = []
     for setting in SETTINGS:
         value = getattr(settings, setting.name)
@@ -323,7 +323,7 @@
     return setting.default
 
 
-def _check_together(values: dict[str, Any]) -> list[SettingsFault]:
+def _check_pairs(values: dict[str, Any]) -> list[SettingsFault]:
     faults = []
     if bool(values.get("tls_certificate")) != bool(values.get("tls_key")):
         faults.append(SettingsFault("--tls-key", "goes together with --tls-certificate"))
--- a/packages/router/src/tamarack_router/share_guard.py
+++ b/packages/router/src/tamarack_router/share_guard.py
@@ -7,10 +7,17 @@
 
 
 class ShareGuard:
-    """Counts what workspaces hold of a bounded thing.
+    """Limits each workspace's part of a bounded resource.
 
-    A workspace may hold at most `alpha` times what is free, so that one that floods leaves room
-    for the others, while a lone one may still use most of it.
+    A workspace may hold at most `alpha` times the free units, so that a flooding workspace leaves
+    capacity for the others, while a single active one may still use most of it.
+
+    Parameters
+    ----------
+    capacity
+        Total number of units.
+    alpha
+        Factor of the free units that one workspace may hold.
     """
 
     def __init__(self, capacity: int, alpha: float) -> None:
@@ -22,11 +29,11 @@
 
     @property
     def free(self) -> int:
-        """How much nobody holds."""
+        """Number of free units."""
         return self._capacity - self._total
 
     def take(self, workspace: str) -> bool:
-        """Take one for a workspace; False if it holds its share."""
+        """Take one unit for a workspace; return False if it already holds its share."""
         with self._lock:
             free = self._capacity - self._total
             if free <= 0 or self._held[workspace] >= max(1.0, self._alpha * free):
@@ -36,7 +43,7 @@
             return True
 
     def give_back(self, workspace: str) -> None:
-        """Give one back."""
+        """Return one unit of a workspace."""
         with self._lock:
             self._held[workspace] -= 1
             self._total -= 1
--- a/packages/router/src/tamarack_router/task.py
+++ b/packages/router/src/tamarack_router/task.py
@@ -1,4 +1,4 @@
-"""What the tasks of a router have in common: threads that live as long as the task is open."""
+"""Base class of a router's tasks: threads that run while the task's context is open."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class Task:
-    """Runs its bodies in threads of their own, from entry until exit.
+    """Runs each of its functions in a thread, from entry until exit.
 
     Parameters
     ----------
     bodies
-        What runs, by the name of its thread; a body returns once the task was asked to end.
+        Functions by thread name; each returns once the task was asked to end.
     join_s
-        Longest wait at exit for each body, in seconds; 0 leaves them to end by themselves, for
-        bodies that may stand in a call to another process.
+        Longest wait for each thread at exit, in seconds; 0 does not wait, for functions that may
+        block in a call to another process.
     """
 
     def __init__(self, bodies: dict[str, Callable[[], None]], *, join_s: float = 0.0) -> None:
@@ -48,5 +48,5 @@
         return all(thread.is_alive() for thread in self._threads)
 
     def _ask_to_end(self) -> None:
-        """Have the bodies return; those that do not wait on `_ending` are told otherwise."""
+        """Ask the threads to return; extended by tasks whose threads do not wait on `_ending`."""
         self._ending.set()
--- a/packages/router/src/tamarack_router/thread_times.py
+++ b/packages/router/src/tamarack_router/thread_times.py
@@ -1,4 +1,4 @@
-"""Processor time of this process by thread, as the kernel counts it."""
+"""CPU time of this process by thread, from the kernel's accounting."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 TASKS = Path("/proc/self/task")
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-OTHERS = "native"
+NATIVE = "native"
 
 
 def thread_seconds() -> dict[str, float]:
-    """Seconds by name of thread; pools count together, threads of libraries as `native`."""
+    """Return CPU seconds by thread name; a pool is one entry, native threads are `native`."""
     names = {thread.native_id: _group(thread.name) for thread in threading.enumerate()}
     seconds: Counter[str] = Counter()
     try:
         for task in TASKS.iterdir():
             fields = (task / "stat").read_text().rpartition(")")[2].split()
             ticks = int(fields[11]) + int(fields[12])
-            seconds[names.get(int(task.name), OTHERS)] += ticks / TICKS_PER_S  # type: ignore[assignment]
+            seconds[names.get(int(task.name), NATIVE)] += ticks / TICKS_PER_S  # type: ignore[assignment]
     except OSError:
         return dict(seconds)
     return dict(seconds)
--- a/packages/router/src/tamarack_router/tracing.py
+++ b/packages/router/src/tamarack_router/tracing.py
@@ -1,4 +1,4 @@
-"""Traces with a span for each hop, passed on by W3C `traceparent`."""
+"""Traces with a span per hop, propagated by W3C `traceparent`."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     address
         URL of the OTLP/HTTP receiver, for `otlp`.
     sample
-        Part of traces begun here that is kept, 0 to 1.
+        Fraction of the traces started here that is recorded, 0 to 1.
     """
 
     def __init__(self, router: str, exporter: str, address: str, sample: float) -> None:
@@ -53,7 +53,7 @@
             self._provider.shutdown()
 
     def start(self, name: str, *, parent: Any = None, traceparent: str = "") -> Any:
-        """Begin a span below another span, or below a caller's `traceparent`."""
+        """Start a span as a child of another span or of a caller's `traceparent`."""
         context = None
         if parent is not None:
             context = trace.set_span_in_context(parent)
@@ -63,7 +63,7 @@
 
 
 def traceparent_of(span: Any) -> str:
-    """The `traceparent` that names a span, empty if it is not recorded."""
+    """Return the `traceparent` header of a span, empty if the span has no valid context."""
     if span is None or not span.get_span_context().is_valid:
         return ""
     carrier: dict[str, str] = {}
--- a/packages/router/src/tamarack_router/view_publisher.py
+++ b/packages/router/src/tamarack_router/view_publisher.py
@@ -1,4 +1,4 @@
-"""Makes the view of the control task's state that the listeners see."""
+"""Builds and publishes the view of the control task's state for the listeners."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tamarack_router.fleet_view import FleetView, ViewHolder
 from tamarack_router.peer_links import PeerLinks
 
-APPLIED_KEPT = 50
+MAX_APPLIED_VERSIONS = 50
 
 
 class ViewPublisher:
@@ -21,9 +21,9 @@
     Parameters
     ----------
     counts
-        The control task's own events by name.
+        The control task's own event counts by name.
     views
-        Where the listeners read the newest snapshot.
+        Holds the newest snapshot for the listeners.
     """
 
     def __init__(
@@ -42,13 +42,13 @@
         self._applied: dict[int, int] = {}
 
     def note_applied(self, version: int, wall_ms: int) -> None:
-        """Note when a configuration came in force; the oldest notes are dropped."""
+        """Record when a configuration was applied; the oldest record is dropped past the limit."""
         self._applied[version] = wall_ms
-        if len(self._applied) > APPLIED_KEPT:
+        if len(self._applied) > MAX_APPLIED_VERSIONS:
             del self._applied[min(self._applied)]
 
     def publish(self, now_ms: float, *, leaving: bool, store_up: bool) -> None:
-        """Replace the view by the state of now."""
+        """Replace the view by a snapshot of the current state."""
         membership = self._core.membership
         isolated = not store_up and membership.cut_off(now_ms)
         self._views.publish(
