--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents that are made from the code stay true to it."""
+"""Generated documents match the code and the readings that they are made from."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     assert {operation.role for operation in OPERATIONS} == {"read", "operate", "configure"}
 
 
-def test_the_reference_page_is_what_the_code_says() -> None:
+def test_the_reference_page_matches_the_code() -> None:
     assert (ROOT / "docs" / "reference.md").read_text() == reference()
 
 
-def test_the_pages_of_figures_are_what_the_readings_say(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_pages_of_figures_match_the_readings(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.chdir(ROOT)
     docs = ROOT / "docs"
     assert (docs / "CAPACITY.md").read_text() == capacity.page(capacity.read_lines())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes: callers' interface, failures, operators."""
+"""A small fleet of real processes: API for callers, failures and operators."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def wait_for(condition: Callable[[], Any]) -> Any:
-    """Wait until a condition holds; the wait is bounded, never the point of a test."""
+    """Wait until a condition holds, at most `WAIT_S`; no test measures this wait."""
     deadline = time.monotonic() + WAIT_S
     while time.monotonic() < deadline:
         value = condition()
@@ -89,7 +89,7 @@
 
 
 def addresses_at(fleet: Fleet, address: str) -> set[str]:
-    """Addresses that a router names to any workspace."""
+    """Addresses that a router returns to any workspace."""
     named: set[str] = set()
     for key in fleet.keys.values():
         headers = {"Authorization": f"Bearer {key}"}
@@ -108,10 +108,10 @@
     return sum(float(line.split()[-1]) for line in text.splitlines() if name in line)
 
 
-# Callers' interface
+# API for callers
 
 
-def test_the_stock_client_gets_whole_answers_and_streams(fleet: Fleet, workspace: str) -> None:
+def test_the_stock_client_gets_complete_answers_and_streams(fleet: Fleet, workspace: str) -> None:
     stock = openai.OpenAI(
         base_url=f"http://{fleet.addresses[0]}/v1", api_key=fleet.keys[workspace], max_retries=0
     )
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize(("method", "path", "headers", "body", "status"), BAD_CALLS)
-def test_bad_input_is_refused_and_truly_not_run(
+def test_invalid_input_is_refused_and_not_run(
     fleet: Fleet, method: str, path: str, headers: dict[str, str], body: bytes, status: int
 ) -> None:
     before = len(runs_of(fleet, "model"))
@@ -173,7 +173,7 @@
 
 
 def framed(body: bytes, *, chunked: bool) -> bytes:
-    """What tells a body's length, the end of the head, and the body."""
+    """The header for the body's length, the end of the head, and the body."""
     if not chunked:
         return b"Content-Length: %d\r\n\r\n" % len(body) + body
     parts = [body[at : at + 65_536] for at in range(0, len(body), 65_536)]
@@ -182,7 +182,7 @@
 
 
 def answer_after_all_is_sent(address: str, line: str, key: str, rest: bytes) -> bytes:
-    """What a caller reads that first sends the whole of its request."""
+    """Response to a caller that sends its whole request before it reads."""
     host, port = address.split(":")
     head = f"{line} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n"
     answer = b""
@@ -197,13 +197,11 @@
 def test_the_refusal_of_a_body_far_over_the_limit_can_be_read(
     fleet: Fleet, workspace: str, chunked: bool
 ) -> None:
-    """A caller that sends a body many times too long can read why it is refused.
+    """A caller that sends eight times the body limit before it reads still receives the 413.
 
-    Symptom: in place of the 413 the caller gets a broken pipe or a reset connection, takes it
-    for a failure of the router, and sends the body again elsewhere.
-    Sequence: it sends all of a body of eight times the limit, then reads the answer.
-    Cause: the router closed while a part of the body was unread, which has the system reset the
-    connection and throw the answer away.
+    If the router closes the socket with unread data, the operating system resets the connection
+    and discards the response. The caller then takes the broken pipe or the reset for a failure of
+    the router and sends the body again to another one.
     """
     router = next(iter(fleet.routers.values()))
     rest = framed(b"x" * 8_000_000, chunked=chunked)
@@ -218,9 +216,8 @@
 
 
 def test_odd_paths_and_headers_reach_the_service_or_are_refused(fleet: Fleet) -> None:
-    # Symptom: a router ends after one caller's request.
-    # Sequence: a caller sends an escaped space in a path, or a header that is not ASCII.
-    # Cause: the path went on decoded, and the relay's thread ended on writing the request.
+    # A path with an escaped space or a header that is not ASCII must not end the relay thread, and
+    # with it the router: forwarding the decoded path makes writing the endpoint request raise.
     answer = json.loads(call(fleet, "GET", "/services/office-app/a%20b?x=1&x=2").data)
     assert answer["operation"] == "GET /a b"
     assert answer["query"] == "x=1&x=2"
@@ -231,9 +228,8 @@
 
 
 def test_a_body_that_comes_too_slowly_is_refused(fleet: Fleet, workspace: str) -> None:
-    # Symptom: a few callers on bad lines hold all threads, and nobody else is served.
-    # Sequence: a caller states a length, sends a byte, and sends no more.
-    # Cause: a timeout per byte never ends such a call; the time for the whole call is bounded.
+    # A caller announces a length, sends one byte and then stalls. With a timeout per byte only, a
+    # few callers on slow lines can occupy all threads; the time for the whole call is bounded.
     host, port = fleet.addresses[0].split(":")
     with socket.create_connection((host, int(port)), timeout=10) as sock:
         head = (
@@ -246,7 +242,7 @@
     assert b"not-run" in answer
 
 
-def test_a_caller_that_goes_away_cancels_its_stream(fleet: Fleet, workspace: str) -> None:
+def test_a_caller_that_disconnects_cancels_its_stream(fleet: Fleet, workspace: str) -> None:
     host, port = fleet.addresses[0].split(":")
     body = completion(stream=True, standin_tokens=100_000)
     with socket.create_connection((host, int(port)), timeout=10) as sock:
@@ -261,9 +257,8 @@
 
 
 def test_two_hundred_callers_at_once_are_not_reset(fleet: Fleet, workspace: str) -> None:
-    # Symptom: under a burst callers see connections reset, or a second of delay.
-    # Sequence: 200 callers connect at once.
-    # Cause: the HTTP library's listen backlog of 5.
+    # With the HTTP library's default listen backlog of 5, a burst of 200 connections is reset or
+    # delayed by a second.
     host, port = fleet.addresses[0].split(":")
     head = f"GET /v1/models HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {fleet.keys[workspace]}"
     socks = [socket.create_connection((host, int(port)), timeout=10) for _ in range(200)]
@@ -274,13 +269,12 @@
         sock.close()
 
 
-# Whole answers
+# Complete answers
 
 
 def test_a_stream_whose_connection_falls_silent_is_resumed(fleet: Fleet, client: Client) -> None:
-    # Symptom: a draft stops in the middle and its spinner turns for ever.
-    # Sequence: the engine's connection goes silent after some bytes; the engine goes on.
-    # Cause: something between the two ends lost track of it; a new connection works.
+    # The engine's connection goes silent after some bytes while the engine continues, as when a
+    # device on the path drops its connection state. Without a resume the stream would hang.
     fault = {"kind": "silent_after", "value": 700, "times": 1, "path": "/v1/completions"}
     set_all(fleet, "model", [fault])
     body = {"model": MODEL, "prompt": "x", "stream": True, "standin_tokens": 40}
@@ -310,9 +304,8 @@
 def test_an_order_whose_answer_is_lost_is_unknown_and_runs_once(
     fleet: Fleet, client: Client
 ) -> None:
-    # Symptom: two tankers come.
-    # Sequence: the service runs an order; its answer is lost; the caller retries with its key.
-    # Cause: the order may have run, so nobody may send it again, nor say that it did not run.
+    # The service executes an order, its response is lost and the caller retries with its key. The
+    # order may have run: sending it again would execute it twice, and "not-run" would be wrong.
     before = len(runs_of(fleet, "plain"))
     set_all(fleet, "plain", [{"kind": "answer_lost", "times": 1, "path": "/tank-orders"}])
     with pytest.raises(OutcomeUnknownError):
@@ -346,8 +339,10 @@
     assert len(runs_of(fleet, "plain")) == before + 1
 
 
-def test_a_foreign_key_is_claimed_in_the_table_service(fleet: Fleet, client: Client) -> None:
-    # Sequence: a client without a keeper's token retries with its own key; then the store is down.
+def test_a_key_without_an_owner_token_is_claimed_in_the_table_service(
+    fleet: Fleet, client: Client
+) -> None:
+    # A client retries with a key of its own, without a key owner's token; then the store is down.
     before = len(runs_of(fleet, "plain"))
     first = client.call("POST", ORDERS, {"tank": 2}, key="foreign-1")
     second = client.call("POST", ORDERS, {"tank": 2}, key="foreign-1")
@@ -362,9 +357,8 @@
 
 
 def test_a_claim_whose_answer_was_lost_is_read_back(fleet: Fleet, client: Client) -> None:
-    # Symptom: a request is refused for ever though nobody runs it.
-    # Sequence: the claim takes effect in the store, and the store's answer is lost.
-    # Cause: the claim is the router's own; the row says so when it is read back.
+    # The claim takes effect in the store, but the response is lost. Unless the router reads the row
+    # back and recognizes its own claim, the request is refused forever although nothing runs it.
     fault = {"kind": "answer_lost", "times": 1, "path": "/transact"}
     fleet.set_faults(fleet.platform["address"], [fault])
     answer = client.call("POST", ORDERS, {"tank": 4}, key="foreign-3", deadline_s=8)
@@ -389,7 +383,7 @@
     assert admin.wait_in_force(admin.switch_preset("ordinary"), WAIT_S).routers == {}
 
 
-def test_every_fault_of_a_change_is_told_at_once_and_nothing_is_applied(fleet: Fleet) -> None:
+def test_all_faults_of_a_change_are_reported_at_once_and_nothing_is_applied(fleet: Fleet) -> None:
     admin = fleet.admin()
     before = admin.call("GET", "preset")["version"]
     puts = [
@@ -404,10 +398,9 @@
     assert admin.call("GET", "preset")["version"] == before
 
 
-def test_a_change_whose_answer_was_lost_is_not_called_failed(fleet: Fleet) -> None:
-    # Symptom: an operator repeats a change that had been accepted.
-    # Sequence: the transaction takes effect, and its answer is lost.
-    # Cause: a lost answer is not a failure; the row of the version tells whose change it is.
+def test_a_change_whose_answer_was_lost_is_not_reported_as_failed(fleet: Fleet) -> None:
+    # The transaction takes effect, but the response is lost. Reported as failed, an accepted change
+    # would be repeated by the operator; the row of the version shows whose change it is.
     fault = {"kind": "answer_lost", "times": 1, "path": "/transact"}
     fleet.set_faults(fleet.platform["address"], [fault])
     version = fleet.admin().switch_preset("maintenance")
@@ -495,10 +488,12 @@
     assert broken.returncode == 1 and "endpoint/broken/service" in broken.stderr
 
 
-# Failures of routers; these change the fleet, so they come last.
+# Router failures; these tests change the fleet, so they run last.
 
 
-def test_a_graceful_stop_cuts_nothing_and_exits_clean(fleet: Fleet, workspace: str) -> None:
+def test_a_graceful_stop_truncates_no_stream_and_exits_with_zero(
+    fleet: Fleet, workspace: str
+) -> None:
     fleet.start_router("leaver", fleet.deployment.failure_domains[0])
     fleet.wait_ready(["leaver"])
     client = Client([fleet.routers["leaver"].address], fleet.keys[workspace])
@@ -514,9 +509,8 @@
 
 
 def test_a_killed_routers_stream_is_finished_through_another(fleet: Fleet, workspace: str) -> None:
-    # Symptom: a draft is lost because the router that relayed it was replaced without notice.
-    # Sequence: the router is killed in the middle of a stream; the engine goes on.
-    # Cause: only that router knew the run; the keeper knows the endpoint, which gives it again.
+    # The router is killed in the middle of a stream while the engine continues. The stream would be
+    # lost if only that router knew the run: the key owner knows its endpoint, which sends it again.
     fleet.start_router("victim", fleet.deployment.failure_domains[1])
     fleet.wait_ready(["victim"])
     client = Client(fleet.addresses, fleet.keys[workspace])
@@ -533,13 +527,15 @@
     text, request_id, ended = read_stream(data)
     assert ended and is_whole(text, request_id, 300)
     assert len([r for r in runs_of(fleet, "model") if r["request"] == request_id]) == 1
-    # Nobody is sent to the killed router any more.
+    # The other routers no longer return the killed router's address.
     for address in others:
         wait_for(lambda a=address: fleet.routers["victim"].address not in addresses_at(fleet, a))
 
 
-def test_a_cold_router_serves_in_a_store_outage_from_its_peers(fleet: Fleet) -> None:
-    # Sequence: the store is down; a router starts cold; its peers know the version in force.
+def test_a_cold_router_gets_its_configuration_from_peers_during_a_store_outage(
+    fleet: Fleet,
+) -> None:
+    # The store is down when a router starts without state; its peers know the current version.
     paths = ("/tables", "/transact", "/objects")
     fleet.set_faults(fleet.platform["address"], [{"kind": "down", "path": p} for p in paths])
     fleet.start_router("cold", fleet.deployment.failure_domains[2])
@@ -550,8 +546,8 @@
 
 
 def test_replacing_every_router_one_after_another_loses_nothing(fleet: Fleet) -> None:
-    # Symptom: a rolling replacement cuts answers or runs orders twice.
-    # Sequence: each router is stopped gracefully and started cold while callers go on.
+    # Guards against truncated answers and orders that run twice: each router is stopped gracefully
+    # and started without state while callers continue.
     names = [n for n in fleet.routers if fleet.processes.running(n)]
     plans = [CallerPlan(w, 2, 0.05, 0.4, 0.3, (5, 40)) for w in fleet.deployment.workspaces[:4]]
     load = Load(fleet.addresses, fleet.keys, plans, model=MODEL, plain="office-app", seed=3)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay's followers and kept answers, over socket pairs."""
+"""Followers, stored answers and share limits of the relay, over socket pairs."""
 
 from __future__ import annotations
 
@@ -34,11 +34,10 @@
     return data
 
 
-def test_an_event_of_a_follower_that_was_closed_in_the_same_round_is_passed_over() -> None:
-    # Symptom: a router takes requests and answers none of them, until it is restarted.
-    # Sequence: one round of the selector holds the end of an answer and the caller's closing of
-    # its connection; the first closes the socket, the second still names it.
-    # Cause: the event of a closed socket raised, and the relay's thread ended with it.
+def test_an_event_of_a_follower_closed_in_the_same_selector_round_is_ignored() -> None:
+    # One selector round can contain both the end of an answer, which closes the caller's socket,
+    # and the caller's disconnect. The event of the closed socket must not raise: the exception
+    # would end the relay thread, and the router would accept requests but answer none.
     relay = make_relay()
     near, far = socket.socketpair()
     answer = KeptAnswer("r1~1~1", "w", stream=False)
@@ -54,10 +53,9 @@
     assert read_all(far).endswith(b"whole")
 
 
-def test_a_stream_that_breaks_has_no_last_chunk() -> None:
-    # Symptom: a page is published with half a policy on it.
-    # Sequence: the engine dies in the middle of a stream and cannot give the rest.
-    # Cause: an answer that ends in order looks whole; a missing last chunk shows the cut.
+def test_a_broken_stream_has_no_last_chunk() -> None:
+    # The engine crashes in the middle of a stream and the rest cannot be resumed. With a regular
+    # last chunk the truncated answer would look complete to the caller's HTTP library.
     near, far = socket.socketpair()
     answer = KeptAnswer("r1~1~1", "w", stream=True)
     follower = Follower(near, answer)
@@ -73,7 +71,7 @@
     assert not data.endswith(b"0\r\n\r\n")
 
 
-def test_a_whole_stream_ends_with_the_last_chunk() -> None:
+def test_a_complete_stream_ends_with_the_last_chunk() -> None:
     near, far = socket.socketpair()
     answer = KeptAnswer("r1~1~1", "w", stream=True)
     follower = Follower(near, answer)
@@ -85,10 +83,10 @@
     assert read_all(far).endswith(b"0\r\n\r\n")
 
 
-def test_a_flood_does_not_push_out_a_small_workspaces_answer() -> None:
-    # Symptom: a small shop cannot fetch its answer again while a large one is busy.
-    # Sequence: one small answer is kept; hundreds of large ones follow from another workspace.
-    # Cause: dropping the oldest of all answers; the oldest of the largest holder goes instead.
+def test_a_flooding_workspace_does_not_evict_a_small_workspaces_answer() -> None:
+    # One answer of a small workspace is followed by hundreds from another workspace. Evicting the
+    # oldest answer overall would drop the small workspace's; the oldest answer of the workspace
+    # that uses most memory must be evicted instead.
     store = AnswerStore(memory_bytes=50_000, lifetime_ms=60_000)
     for number in range(200):
         workspace = "small" if number == 0 else "flood"
@@ -106,12 +104,11 @@
     assert len(store) == 0
 
 
-def test_a_router_that_is_asked_for_an_answer_is_probed() -> None:
-    """The control task is told to probe a holder when it is first asked, and when it is silent.
+def test_the_holder_of_a_queried_answer_is_probed() -> None:
+    """A holder is probed when it is first queried, and again when it does not respond.
 
-    Symptom: a killed router stands among the callers' addresses after its streams have ended.
-    Sequence: a caller of it asks here for its stream; the holder does not answer.
-    Cause: the unanswered queries told nobody that the router may be gone.
+    A caller of a killed router asks another router for its stream, and the queries to the holder
+    stay unanswered. Without a probe the killed router would remain among the callers' addresses.
     """
     control = Mailbox()
     remote = RemoteAnswers(control)
@@ -124,9 +121,8 @@
 
 
 def test_slow_calls_of_one_workspace_leave_threads_for_others() -> None:
-    # Symptom: small shops get no answer while one workspace's callers hang on bad lines.
-    # Sequence: nine slow calls of one workspace, one of another, ten threads.
-    # Cause: threads are shared; past its part a workspace's oldest slow calls are ended.
+    # Ten threads read nine slow calls of one workspace and one of another. Without a limit per
+    # workspace, slow callers of one workspace occupy all threads and no other caller is served.
     slow = SlowCallers(10.0, 10, 1.0)
     pairs = [socket.socketpair() for _ in range(10)]
     for number, (near, _) in enumerate(pairs):
@@ -138,7 +134,7 @@
     assert slow.overdue(time.monotonic() + 11.0) == [pairs[9][0], pairs[0][0]]
 
 
-def test_a_workspace_may_hold_only_what_is_free() -> None:
+def test_a_workspace_may_hold_at_most_alpha_times_the_free_capacity() -> None:
     guard = ShareGuard(10, 1.0)
     flood = [guard.take("flood") for _ in range(10)]
     assert flood.count(True) == 5
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,4 +1,4 @@
-"""One run against sockets of the test's own."""
+"""A single run against sockets that the test controls."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def until_event(
     connection: EndpointConnection, events: list[ConnectionEvent]
 ) -> list[ConnectionEvent]:
-    """Drive a connection until something happened."""
+    """Drive a connection until it returns events."""
     while not events:
         writing = bool(connection.interest & selectors.EVENT_WRITE)
         readable, writable, _ = select.select(
@@ -37,11 +37,10 @@
     return events
 
 
-def test_a_request_that_left_stays_sent_when_its_endpoint_dies_before_the_resume() -> None:
-    # Symptom: a billed draft runs at two engines.
-    # Sequence: an engine is killed after it took a request; the connection that is to resume the
-    # answer is refused; the request goes to another engine as if it had never been sent.
-    # Cause: what was sent was asked of the last connection, which had sent nothing.
+def test_a_sent_request_stays_sent_when_its_endpoint_crashes_before_the_resume() -> None:
+    # An engine is killed after it received a request, and the connection to resume the answer is
+    # refused. If `sent` reflected only the last connection, which sent nothing, the request would
+    # be sent to a second engine and run twice.
     listener = socket.create_server(("127.0.0.1", 0))
     host, port = listener.getsockname()
     run = make_run(f"{host}:{port}")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings, help texts, exit codes."""
+"""Settings, help texts and exit codes."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     assert make_ctl_parser().format_help() == snapshot
 
 
-def test_every_fault_is_told_at_once() -> None:
+def test_all_faults_are_reported_at_once() -> None:
     environment = {
         "TAMARACK_ROUTER": "Bad Name",
         "TAMARACK_LISTEN": "localhost:80",
@@ -59,12 +59,12 @@
     }
 
 
-def test_a_flag_goes_before_its_variable() -> None:
+def test_a_flag_overrides_its_variable() -> None:
     settings = read_settings({"router": "r2"}, NEEDED)
     assert isinstance(settings, Settings) and settings.router == "r2"
 
 
-def test_secrets_come_from_files_and_are_never_printed(tmp_path: Path) -> None:
+def test_secrets_are_read_from_files_and_never_printed(tmp_path: Path) -> None:
     secret = tmp_path / "tokens"
     secret.write_text("read:aaaaaaaaaaaaaaaa,configure:bbbbbbbbbbbbbbbb\n")
     environment = {k: v for k, v in NEEDED.items() if k != "TAMARACK_ADMIN_TOKENS"}
@@ -75,7 +75,7 @@
     assert "aaaaaaaaaaaaaaaa" not in "\n".join(printable(settings))
 
 
-def test_a_router_with_wrong_settings_exits_with_two() -> None:
+def test_a_router_with_invalid_settings_exits_with_code_two() -> None:
     environment = {k: v for k, v in os.environ.items() if not k.startswith("TAMARACK_")}
     done = subprocess.run(
         [sys.executable, "-m", "tamarack_router.main", "--threads", "many"],
