--- a/packages/router/src/tamarack_router/followed_requests.py
+++ b/packages/router/src/tamarack_router/followed_requests.py
@@ -51,7 +51,7 @@
             self._release(followed.held)
 
     def take_readable(self, answer: KeptAnswer) -> FollowedRequest | None:
-        """Stop following for a request whose run can be read at its endpoint; None without one.
+        """Return a request whose run can be read at its endpoint, or None; it follows no longer.
 
         Otherwise a caller whose router crashed would get the outcome "unknown", although the
         engine continues the run and can send its stream again.
@@ -64,7 +64,9 @@
         return None
 
     def take_unclaimed(self, correlation: int) -> HeldRequest | None:
-        """Stop following for a request that its holder no longer has; None if claimed again before.
+        """Return a request to claim again as its holder no longer has the run, or None.
+
+        The request follows no longer. None is returned if it was claimed again before.
 
         The holder withdraws a request and frees its key if the caller disconnects before it runs.
         The caller's retry, which followed it, would get the outcome "unknown" though nothing ran.
--- a/packages/router/src/tamarack_router/messages.py
+++ b/packages/router/src/tamarack_router/messages.py
@@ -45,7 +45,7 @@
 
 
 class FollowAnswer(NamedTuple):
-    """Listener to relay: write a request's answer from an offset; -1 asks for its state only."""
+    """Listener to relay: write a request's answer from an offset; -1 requests only its state."""
 
     sock: socket.socket
     workspace: str
--- a/packages/router/src/tamarack_router/peer_links.py
+++ b/packages/router/src/tamarack_router/peer_links.py
@@ -152,15 +152,15 @@
 
     def drop(self, router: str) -> None:
         """Close the connection to a peer; the next message opens a new one."""
-        known = self._peers.pop(router, None)
+        existing = self._peers.pop(router, None)
         self._last_sent_ms.pop(router, None)
-        if known is not None:
-            known[1].close(linger=CLOSE_LINGER_MS)
+        if existing is not None:
+            existing[1].close(linger=CLOSE_LINGER_MS)
 
     def _connect(self, router: str, address: str) -> zmq.Socket[bytes]:
-        known = self._peers.get(router)
-        if known is not None and known[0] == address:
-            return known[1]
+        existing = self._peers.get(router)
+        if existing is not None and existing[0] == address:
+            return existing[1]
         self.drop(router)
         sock: zmq.Socket[bytes] = self._context.socket(zmq.DEALER)
         # The identity is sent once per connection, so frames need not name their sender. It is
--- a/packages/router/src/tamarack_router/remote_answers.py
+++ b/packages/router/src/tamarack_router/remote_answers.py
@@ -39,15 +39,15 @@
 
     def open(self, request: str, workspace: str, now_ms: float) -> KeptAnswer:
         """Start mirroring a request's answer; the request id names the router that holds it."""
-        known = self._mirrors.get(request)
-        if known is not None and known.answer.workspace == workspace:
-            return known.answer
+        existing = self._mirrors.get(request)
+        if existing is not None and existing.answer.workspace == workspace:
+            return existing.answer
         answer = KeptAnswer(request, workspace, stream=False)
         holder, _, _ = request.partition("~")
         mirror = _Mirror(answer, holder, next(self._correlations), now_ms)
         self._mirrors[request] = mirror
         self._by_correlation[mirror.correlation] = mirror
-        # A caller that asks here for another router's answer may have lost that router.
+        # The caller may ask this router because the holder has failed.
         self._control.put(DoubtRouter(holder))
         self._query(mirror)
         return answer
