--- a/packages/standins/src/tamarack_standins/deployments.py
+++ b/packages/standins/src/tamarack_standins/deployments.py
@@ -1,4 +1,4 @@
-"""The deployments of the first users, at today's sizes."""
+"""The deployments of the first users, at their actual sizes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     step_ms
         Step of a model engine, or work time of a plain call.
     old
-        How many of the endpoints are old hardware, half as fast and with half the slots.
+        Number of endpoints on old hardware, with half the speed and half the slots.
     """
 
     name: str
@@ -28,7 +28,7 @@
 
 
 class Deployment(NamedTuple):
-    """Where a user runs the fleet, and what stands behind it."""
+    """A user's deployment: its failure domains, services and workspaces."""
 
     name: str
     failure_domains: list[str]
@@ -89,7 +89,7 @@
 def initial_entries(
     deployment: Deployment, endpoints: list[dict[str, Any]], keys: dict[str, str]
 ) -> list[dict[str, Any]]:
-    """Entries of a deployment's first configuration; at peaks the largest weighs double."""
+    """Entries of the first configuration; preset `peak` doubles the largest workspace's weight."""
     from tamarack_core.configuration_entries import hash_key
 
     puts: list[dict[str, Any]] = []
--- a/packages/standins/src/tamarack_standins/engine.py
+++ b/packages/standins/src/tamarack_standins/engine.py
@@ -20,13 +20,25 @@
 from tamarack_standins.run_log import RunLog
 from tamarack_standins.server import make_app, serve
 
-KEPT_GENERATIONS = 2_000
+MAX_GENERATIONS = 2_000
+"""Generations kept for resumption; beyond these the oldest finished ones are dropped."""
+
 PREFILL_TOKENS_PER_STEP = 512
 PREFIX_CHARACTERS = 256
 
 
 class EngineOptions(NamedTuple):
-    """How an engine behaves; times in milliseconds."""
+    """Options of an engine; times in milliseconds.
+
+    Attributes
+    ----------
+    batch
+        Number of generations that step together.
+    crowding
+        Relative increase of the step time at a full batch.
+    load_lag_ms
+        Age of the load reports and of the cache events.
+    """
 
     name: str
     model: str
@@ -78,7 +90,7 @@
         return app
 
     async def run(self) -> None:
-        """Step for ever."""
+        """Run batch steps until cancelled."""
         options = self._options
         while True:
             if not self._active and not self._queue:
@@ -136,10 +148,10 @@
         if state == "finished":
             generation.out += last_bytes(generation)
         generation.notify()
-        self._forget_old()
+        self._drop_oldest_finished()
 
-    def _forget_old(self) -> None:
-        while len(self._generations) > KEPT_GENERATIONS:
+    def _drop_oldest_finished(self) -> None:
+        while len(self._generations) > MAX_GENERATIONS:
             oldest = next(iter(self._generations))
             if not self._generations[oldest].done:
                 return
@@ -190,7 +202,7 @@
         while len(self._reports) > 1 and self._reports[1][0] <= now - self._options.load_lag_ms:
             self._reports.popleft()
         report = dict(self._reports[0][1])
-        # What follows an order is told at once; only the load lags.
+        # Only the load figures lag; effects of orders are reported at once.
         leaving = self._leaving or self._loading or not self._accepting
         in_flight = len(self._active) + len(self._queue)
         report.update(leaving=leaving, in_flight_now=in_flight, **self._observed())
--- a/packages/standins/src/tamarack_standins/fault_proxy.py
+++ b/packages/standins/src/tamarack_standins/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, silences or cuts what passes through it."""
+"""A loopback TCP proxy that delays, resets or blocks the traffic that it forwards."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from types import TracebackType
 
 READ_BYTES = 65_536
-LOOK_AGAIN_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 class _Pair:
     """The two sides of one forwarded connection."""
 
-    def __init__(self, near: asyncio.StreamWriter, far: asyncio.StreamWriter) -> None:
-        self.near = near
-        self.far = far
+    def __init__(self, client: asyncio.StreamWriter, upstream: asyncio.StreamWriter) -> None:
+        self.client = client
+        self.upstream = upstream
         self.silent = False
 
 
 class FaultProxy:
-    """Forwards connections to a target, on the loop that it was started on.
+    """Forwards connections to a target, on the event loop that it was started on.
 
     Parameters
     ----------
@@ -34,9 +34,10 @@
     address
         Where to connect in place of the target.
     delay_s
-        Seconds that each piece is held up.
+        Delay added to each chunk, in seconds.
     cut_there, cut_back
-        Whether bytes towards the target, or from it, are held back; they are never lost.
+        Whether traffic to the target, or from it, is blocked; blocked bytes are delivered after
+        `heal`.
     """
 
     def __init__(self, target: str) -> None:
@@ -68,18 +69,18 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def silence_open(self) -> None:
-        """Let the connections that are open now go silent for good; new ones work."""
+        """Block the connections that are open now permanently; new ones work."""
         for pair in self._pairs:
             pair.silent = True
 
     def reset_open(self) -> None:
         """Reset the connections that are open now, at both ends."""
         for pair in self._pairs:
-            _reset(pair.near)
-            _reset(pair.far)
+            _reset(pair.client)
+            _reset(pair.upstream)
 
     def heal(self) -> None:
-        """Let everything pass at once again, but what went silent for good."""
+        """Remove the delay and the cuts; connections that were silenced stay blocked."""
         self.delay_s, self.cut_there, self.cut_back = 0.0, False, False
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -88,21 +89,23 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         try:
-            far_reader, far_writer = await asyncio.open_connection(self._host, int(self._port))
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                self._host, int(self._port)
+            )
         except OSError:
             _reset(writer)
             return
-        pair = _Pair(writer, far_writer)
+        pair = _Pair(writer, upstream_writer)
         self._pairs.add(pair)
         try:
             await asyncio.gather(
-                self._pump(reader, far_writer, pair, there=True),
-                self._pump(far_reader, writer, pair, there=False),
+                self._pump(reader, upstream_writer, pair, to_target=True),
+                self._pump(upstream_reader, writer, pair, to_target=False),
             )
         finally:
             self._pairs.discard(pair)
             writer.close()
-            far_writer.close()
+            upstream_writer.close()
 
     async def _pump(
         self,
@@ -110,14 +113,14 @@
         writer: asyncio.StreamWriter,
         pair: _Pair,
         *,
-        there: bool,
+        to_target: bool,
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(READ_BYTES):
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                while pair.silent or (self.cut_there if there else self.cut_back):
-                    await asyncio.sleep(LOOK_AGAIN_S)
+                while pair.silent or (self.cut_there if to_target else self.cut_back):
+                    await asyncio.sleep(POLL_INTERVAL_S)
                 writer.write(data)
                 await writer.drain()
         with contextlib.suppress(OSError):
--- a/packages/standins/src/tamarack_standins/faults.py
+++ b/packages/standins/src/tamarack_standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in is told to have."""
+"""Faults that can be injected into a stand-in."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
         Milliseconds for `slow` and `paused`, bytes for `silent_after`; for `crash`, 0 before the
         handler, 1 after it.
     times
-        How many requests it meets; negative for all.
+        Number of requests that it applies to; negative for all.
     path
-        Beginning of the paths that it meets.
+        Prefix of the paths that it applies to.
     method
-        Method that it meets, empty for all.
+        Method that it applies to; empty for all.
     """
 
     kind: str
@@ -39,7 +39,7 @@
 
 
 class Faults:
-    """The faults in force at one stand-in."""
+    """The active faults of one stand-in."""
 
     def __init__(self) -> None:
         self._faults: list[Fault] = []
@@ -49,7 +49,7 @@
         self._faults = faults
 
     def take(self, kind: str, path: str, method: str = "") -> Fault | None:
-        """Use up one fault of a kind that meets a path."""
+        """Consume one use of the first fault of a kind that applies to a path."""
         for index, fault in enumerate(self._faults):
             if fault.kind != kind or fault.times == 0 or not path.startswith(fault.path):
                 continue
@@ -64,9 +64,9 @@
     async def middleware(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         """Apply the faults to a request."""
         path, method = request.path, request.method
-        # What only the platform itself would do has no faults.
-        own = method == "PUT" and path.startswith("/instances/")
-        if own or path.startswith("/standin/"):
+        # Calls that only the platform itself would make are exempt from faults.
+        internal = method == "PUT" and path.startswith("/instances/")
+        if internal or path.startswith("/standin/"):
             return await handler(request)
         if self.take("down", path, method):
             return _abort(request)
@@ -92,7 +92,7 @@
 
 
 async def set_faults(request: web.Request, faults: Faults) -> web.Response:
-    """Handle `POST /standin/faults`: a list of faults replaces those in force."""
+    """Handle `POST /standin/faults`: a list of faults replaces the active ones."""
     body = await request.json()
     wanted = [Fault(**fault) for fault in body]
     unknown = [fault.kind for fault in wanted if fault.kind not in KINDS]
--- a/packages/standins/src/tamarack_standins/fleet.py
+++ b/packages/standins/src/tamarack_standins/fleet.py
@@ -47,18 +47,19 @@
 
 
 class Fleet:
-    """A running fleet; a context manager that ends every process.
+    """A running fleet; a context manager that terminates every process on exit.
 
     Parameters
     ----------
     settings
         Further settings of the routers, by environment variable.
     base_port
-        First of the ports given out; 0 takes free ones.
+        First port to allocate; 0 allocates free ones.
     forward
-        Whether routers reach each other and the platform through forwarders that can be cut.
+        Whether routers reach each other and the platform through forwarders, which can block
+        traffic.
     ca_certs
-        Certificate of the routers' listeners, where the settings have them speak TLS.
+        Certificate of the routers' listeners, if the settings enable TLS.
     """
 
     def __init__(
@@ -112,12 +113,12 @@
 
     @property
     def deployment(self) -> Deployment:
-        """The deployment that is stood in for."""
+        """The simulated deployment."""
         return self._deployment
 
     @property
     def log_dir(self) -> str:
-        """Folder of the processes' logs, empty if they are not kept."""
+        """Directory of the processes' logs; empty if they are discarded."""
         return self._log_dir
 
     @property
@@ -143,7 +144,7 @@
         )
 
     def describe(self) -> dict[str, Any]:
-        """The line that tells of a fleet that is ready."""
+        """A description of the fleet, printed once it is ready."""
         fields = ("endpoint", "service", "kind", "address", "pid")
         return {
             "ready": True,
@@ -156,7 +157,7 @@
         }
 
     def start_router(self, name: str, failure_domain: str) -> RouterProcess:
-        """Start one router; a name that was used before is a cold restart on new ports."""
+        """Start one router; reusing a name restarts that router cold on new ports."""
         ports = [self._ports.take() for _ in range(4)]
         listen, admin, metrics, peer = (f"{HOST}:{port}" for port in ports)
         environment = {
@@ -190,7 +191,7 @@
         return router
 
     def restart_endpoint(self, name: str) -> None:
-        """Start an endpoint that has ended again, at its old address and with an empty memory."""
+        """Restart a terminated endpoint at its old address, without its former state."""
         endpoint = next(e for e in self.endpoints if e["endpoint"] == name)
         arguments = [*endpoint["arguments"], "--listen", endpoint["address"]]
         child = self._processes.start(
@@ -200,26 +201,26 @@
         endpoint["pid"] = child.pid
 
     def cut_routers(self, one: str, other: str) -> None:
-        """Cut two routers off from each other, in both directions."""
+        """Block traffic between two routers in both directions."""
         self._peer_forwarders[one].cut(other)
         self._peer_forwarders[other].cut(one)
 
     def cut_store(self, router: str) -> None:
-        """Cut a router off from the platform."""
+        """Block traffic between a router and the platform."""
         self._store_forwarders[router].cut()
 
     def silence_peers(self) -> None:
-        """Let all open connections between routers go silent for good; new ones work."""
+        """Block all open connections between routers permanently; new ones work."""
         for forwarder in self._peer_forwarders.values():
             forwarder.silence_open()
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """Lift all blocks; connections that were silenced stay blocked."""
         for forwarder in (*self._peer_forwarders.values(), *self._store_forwarders.values()):
             forwarder.heal()
 
     def runs(self, kind: str = "") -> list[RunRecord]:
-        """What the endpoints ran, also those that have crashed since."""
+        """Run records of the endpoints, including those that have crashed since."""
         records: list[RunRecord] = []
         for endpoint in self.endpoints:
             if not kind or endpoint["kind"] == kind:
@@ -239,7 +240,7 @@
         self._http.request("POST", url, body=body, headers=headers)
 
     def platform_call(self, method: str, path: str, body: Any) -> None:
-        """Act as the platform towards its own stand-ins."""
+        """Call the platform's stand-in as the platform itself would."""
         url = f"http://{self.platform['address']}{path}"
         self._http.request(method, url, body=json.dumps(body).encode())
 
@@ -250,7 +251,7 @@
         while waiting:
             waiting = [name for name in waiting if not self._is_ready(name)]
             if time.monotonic() > deadline:
-                raise RuntimeError(f"not ready in time: {', '.join(waiting)}")
+                raise RuntimeError(f"routers not ready in time: {', '.join(waiting)}")
             time.sleep(0.05)
 
     def _forwarder(self, name: str, target: str) -> Forwarder:
@@ -332,7 +333,7 @@
 
     def _is_ready(self, name: str) -> bool:
         if not self._processes.running(name):
-            raise RuntimeError(f"router {name} has ended")
+            raise RuntimeError(f"router {name} exited before it was ready")
         try:
             url = f"http://{self.routers[name].metrics}/readyz"
             return self._http.request("GET", url).status == 200
--- a/packages/standins/src/tamarack_standins/forwarder.py
+++ b/packages/standins/src/tamarack_standins/forwarder.py
@@ -1,4 +1,4 @@
-"""A TCP forwarder between processes that a test can cut, and let go silent for good."""
+"""A TCP forwarder between processes whose traffic a test can block, for a while or for good."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 HOST = "127.0.0.1"
 READ_BYTES = 65_536
-LOOK_AGAIN_S = 0.02
+POLL_INTERVAL_S = 0.02
 IDENTITY = b"Identity"
-ANYBODY = "*"
+ANY_SOURCE = "*"
 
 
 class _Connection:
-    """One forwarded connection, and who opened it as far as its first bytes tell."""
+    """One forwarded connection, and its opener's name once its first bytes have shown it."""
 
     def __init__(self) -> None:
         self.source = ""
         self.silent = False
         self.head = b""
 
-    def look_at(self, data: bytes) -> None:
-        """Read the opener's name out of the connection's greeting."""
+    def read_identity(self, data: bytes) -> None:
+        """Read the opener's name from the connection's handshake."""
         if self.source or len(self.head) > 1_000:
             return
         self.head += data
@@ -38,7 +38,7 @@
 
 
 class Forwarder:
-    """Forwards connections to a target; bytes of cut ones wait and are never lost.
+    """Forwards connections to a target; blocked bytes are delayed, never lost.
 
     Parameters
     ----------
@@ -48,7 +48,7 @@
 
     def __init__(self, target: str) -> None:
         self._target = target.rpartition(":")
-        self._cut: set[str] = set()
+        self._blocked_sources: set[str] = set()
         self._connections: set[_Connection] = set()
         self._loop = asyncio.new_event_loop()
         self._ready = threading.Event()
@@ -74,16 +74,16 @@
         """Address to connect to in place of the target's."""
         return self._address
 
-    def cut(self, source: str = ANYBODY) -> None:
-        """Hold back all that passes between the target and a source, old connections and new."""
-        self._cut.add(source)
+    def cut(self, source: str = ANY_SOURCE) -> None:
+        """Block traffic between the target and a source, on open and new connections."""
+        self._blocked_sources.add(source)
 
     def heal(self) -> None:
-        """Let everything pass again."""
-        self._cut.clear()
+        """Lift all blocks; connections that were silenced stay blocked."""
+        self._blocked_sources.clear()
 
     def silence_open(self) -> None:
-        """Let the connections that are open now go silent for good; new ones work."""
+        """Block the connections that are open now permanently; new ones work."""
         for connection in list(self._connections):
             connection.silent = True
 
@@ -106,14 +106,14 @@
         self._connections.add(connection)
         try:
             host, _, port = self._target
-            there_reader, there_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.close()
             self._connections.discard(connection)
             return
         await asyncio.gather(
-            self._pump(reader, there_writer, connection, opening=True),
-            self._pump(there_reader, writer, connection, opening=False),
+            self._pump(reader, target_writer, connection, from_opener=True),
+            self._pump(target_reader, writer, connection, from_opener=False),
         )
         self._connections.discard(connection)
 
@@ -123,18 +123,22 @@
         writer: asyncio.StreamWriter,
         connection: _Connection,
         *,
-        opening: bool,
+        from_opener: bool,
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(READ_BYTES):
-                if opening:
-                    connection.look_at(data)
-                while self._held_back(connection):
-                    await asyncio.sleep(LOOK_AGAIN_S)
+                if from_opener:
+                    connection.read_identity(data)
+                while self._is_blocked(connection):
+                    await asyncio.sleep(POLL_INTERVAL_S)
                 writer.write(data)
                 await writer.drain()
         with contextlib.suppress(OSError):
             writer.close()
 
-    def _held_back(self, connection: _Connection) -> bool:
-        return connection.silent or ANYBODY in self._cut or connection.source in self._cut
+    def _is_blocked(self, connection: _Connection) -> bool:
+        return (
+            connection.silent
+            or ANY_SOURCE in self._blocked_sources
+            or connection.source in self._blocked_sources
+        )
--- a/packages/standins/src/tamarack_standins/generation.py
+++ b/packages/standins/src/tamarack_standins/generation.py
@@ -10,8 +10,8 @@
 
 from tamarack_standins.run_log import RunRecord
 
-LONGEST_ANSWER = 400
-SHORTEST_ANSWER = 5
+LONGEST_ANSWER_TOKENS = 400
+SHORTEST_ANSWER_TOKENS = 5
 
 
 class Generation:
@@ -39,7 +39,7 @@
         return f"{self.request}#{self.produced} "
 
     def notify(self) -> None:
-        """Wake whoever writes this generation."""
+        """Wake the tasks that write this generation."""
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -51,15 +51,15 @@
 
 
 def _answer_tokens(body: dict[str, Any], prompt: str) -> int:
-    limit = int(body.get("max_tokens") or LONGEST_ANSWER)
+    limit = int(body.get("max_tokens") or LONGEST_ANSWER_TOKENS)
     seed = int.from_bytes(hashlib.sha256(prompt.encode()).digest()[:8], "big")
-    drawn = random.Random(seed).randint(SHORTEST_ANSWER, LONGEST_ANSWER)
+    drawn = random.Random(seed).randint(SHORTEST_ANSWER_TOKENS, LONGEST_ANSWER_TOKENS)
     exact = body.get("standin_tokens")
     return int(exact) if exact else max(1, min(limit, drawn))
 
 
 def event_bytes(generation: Generation, text: str) -> bytes:
-    """The event of a stream that carries a token."""
+    """The stream event that carries a token."""
     if generation.chat:
         choice: dict[str, Any] = {"index": 0, "delta": {"content": text}, "finish_reason": None}
     else:
@@ -81,7 +81,7 @@
 
 
 def last_bytes(generation: Generation) -> bytes:
-    """What ends a stream, or the whole of an answer that is none."""
+    """The final event of a stream, or the whole body of an answer that is not streamed."""
     if generation.stream:
         return b"data: [DONE]\n\n"
     text = "".join(generation.text)
--- a/packages/standins/src/tamarack_standins/instance_list.py
+++ b/packages/standins/src/tamarack_standins/instance_list.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's list of live and leaving instances, which lags."""
+"""Stand-in of the platform's list of live and leaving instances, which readers see delayed."""
 
 from __future__ import annotations
 
--- a/packages/standins/src/tamarack_standins/plain_service.py
+++ b/packages/standins/src/tamarack_standins/plain_service.py
@@ -16,7 +16,7 @@
 
 
 class PlainService:
-    """Answers every path after its work time, and counts orders per request."""
+    """Answers every path after its work time, and logs each run."""
 
     def __init__(self, name: str, work_ms: float, faults: Faults, run_log: str = "") -> None:
         self._name = name
--- a/packages/standins/src/tamarack_standins/platform_soak.py
+++ b/packages/standins/src/tamarack_standins/platform_soak.py
@@ -42,7 +42,15 @@
 
 
 class Soak:
-    """One seeded run."""
+    """One seeded run.
+
+    Attributes
+    ----------
+    counts
+        Faults, answers by status and other counts, by name.
+    broken
+        Broken promises, a sentence each.
+    """
 
     def __init__(
         self,
@@ -54,7 +62,7 @@
         ends_only: bool = False,
     ) -> None:
         self.random = random.Random(seed)
-        self._own_random = random.Random(seed + 1)
+        self._restart_random = random.Random(seed + 1)
         self._ends_only = ends_only
         self._seconds = seconds
         self._folder = folder
@@ -67,19 +75,19 @@
         self._runs: Counter[str] = Counter()
         self._revoked: dict[str, float] = {}
         self._version = 0
-        self._names = 0
+        self._worker_count = 0
         self._key = "key-0"
         self._stopping = False
-        self._disturbing = 0
-        self._disturbed_s = float("-inf")
-        self._returning: list[asyncio.Future[None]] = []
-        self.ends = EndCounts(self._calm_s)
+        self._active_faults = 0
+        self._last_fault_s = float("-inf")
+        self._restarts: list[asyncio.Future[None]] = []
+        self.ends = EndCounts(self._fault_free_s)
         self.counts: Counter[str] = Counter()
         self.broken: list[str] = []
-        self._calls_made = SoakCalls(self.random, self.counts, self.broken)
+        self._calls = SoakCalls(self.random, self.counts, self.broken)
 
     async def run(self) -> None:
-        """Play the seed; what was broken stands in `broken`."""
+        """Play the seed; broken promises are added to `broken`."""
         async with self._stack:
             await self._stack.enter_async_context(self._store)
             await self._configure()
@@ -97,36 +105,36 @@
                 )
             )
             await self._routers.until_ready()
-            callers = [asyncio.ensure_future(self._calls(n)) for n in range(CALLERS)]
-            callers.append(asyncio.ensure_future(self._fatal_calls()))
-            play_faults = self._kill_all_once if self._ends_only else self._faults
-            faults = asyncio.ensure_future(play_faults())
+            callers = [asyncio.ensure_future(self._run_caller(n)) for n in range(CALLERS)]
+            callers.append(asyncio.ensure_future(self._send_fatal()))
+            inject_faults = self._kill_all_once if self._ends_only else self._faults
+            faults = asyncio.ensure_future(inject_faults())
             await asyncio.sleep(self._seconds)
             self._stopping = True
             await asyncio.gather(*callers, faults)
-            await asyncio.gather(*self._returning)
+            await asyncio.gather(*self._restarts)
             self._check_promises()
 
     def ran(self, arrived: Arrived, stream: bool) -> None:
-        """Take in that a worker runs a request."""
+        """Count a run of a request by a worker, and check that it was allowed."""
         attempt = arrived.headers.get("x-attempt-id", "")
         self._runs[attempt] += 1
-        sent = self._calls_made.sent.get(attempt)
+        sent = self._calls.sent.get(attempt)
         if sent is None:
-            what = f"{arrived.method} {arrived.target} {arrived.headers}"
-            self.broken.append(f"{attempt} runs and no caller sent it: {what}")
+            description = f"{arrived.method} {arrived.target} {arrived.headers}"
+            self.broken.append(f"{attempt} runs and no caller sent it: {description}")
             return
         once = sent.path in ("/page/", "/rewrite/")
         if once and self._runs[attempt] > 1:
             self.broken.append(f"{attempt} {sent.path} runs {self._runs[attempt]} times")
-        taken_s = self._revoked.get(sent.key) if stream else None
-        if taken_s is not None and sent.sent_s > taken_s + REVOKE_MS / 1000:
-            self.broken.append(f"{attempt} runs under a key that was taken away")
+        revoked_s = self._revoked.get(sent.key) if stream else None
+        if revoked_s is not None and sent.sent_s > revoked_s + REVOKE_MS / 1000:
+            self.broken.append(f"{attempt} runs under a revoked key")
         if not arrived.target.startswith(sent.path):
             self.broken.append(f"{attempt} runs at {arrived.target}")
 
     def _check_promises(self) -> None:
-        for attempt in self._calls_made.promised:
+        for attempt in self._calls.promised:
             if self._runs[attempt]:
                 self.broken.append(f"{attempt} was refused as not run and ran")
         if not self.counts["200"]:
@@ -160,42 +168,44 @@
         return {**base, "timeoutMs": 2_000, "targetLatencyMs": 500, **more}
 
     async def _add_worker(self, service: str) -> None:
-        self._names += 1
+        self._worker_count += 1
         streams = service == "pool"
-        worker = SoakWorker(f"i-{self._names}", streams=streams, draws=self.random, ran=self.ran)
-        await self._enter(worker)
+        worker = SoakWorker(
+            f"i-{self._worker_count}", streams=streams, draws=self.random, ran=self.ran
+        )
+        await self._start_worker(worker)
         link = await self._stack.enter_async_context(FaultProxy(worker.address))
         self._workers.append((service, worker, link))
-        await self._list(service, worker, link)
+        await self._publish(service, worker, link)
 
-    async def _enter(self, worker: SoakWorker) -> None:
+    async def _start_worker(self, worker: SoakWorker) -> None:
         worker.on_fatal = self.ends.arrived
         worker.on_end = lambda: self.worker_ended(worker)
         await self._stack.enter_async_context(worker)
 
-    async def _list(
+    async def _publish(
         self, service: str, worker: SoakWorker, link: FaultProxy, *, state: str = "ready"
     ) -> None:
         entry = {**worker.entry(service, state=state), "address": link.address}
         await self._store.put("servers", worker.name, entry)
 
-    # workers that requests end
+    # workers that requests crash
 
     def worker_ended(self, worker: SoakWorker) -> None:
-        """Take in that a request has ended a worker, which comes back as another life."""
-        self._returning.append(asyncio.ensure_future(self._return(worker)))
+        """Restart a worker that a request crashed, as a new incarnation."""
+        self._restarts.append(asyncio.ensure_future(self._restart_crashed(worker)))
 
-    async def _return(self, ended: SoakWorker) -> None:
-        await asyncio.sleep(self._own_random.uniform(*BACK_S))
-        for place, (service, worker, link) in enumerate(self._workers):
+    async def _restart_crashed(self, ended: SoakWorker) -> None:
+        await asyncio.sleep(self._restart_random.uniform(*BACK_S))
+        for index, (service, worker, link) in enumerate(self._workers):
             if worker is ended:
-                back = ended.next_life()
-                self._workers[place] = (service, back, link)
-                await self._enter(back)
-                await self._list(service, back, link)
+                restarted = ended.next_life()
+                self._workers[index] = (service, restarted, link)
+                await self._start_worker(restarted)
+                await self._publish(service, restarted, link)
                 return
 
-    async def _fatal_calls(self) -> None:
+    async def _send_fatal(self) -> None:
         number = 0
         while not self._stopping:
             await asyncio.sleep(PAUSE_S)
@@ -204,22 +214,22 @@
             address = self._routers.address(number % self._count)
             with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError):
                 async with asyncio.timeout(ANSWER_S):
-                    await self._calls_made.call(request.path, self._key, address, request.body)
+                    await self._calls.call(request.path, self._key, address, request.body)
 
-    def _calm_s(self) -> float:
-        return 0.0 if self._disturbing else time.monotonic() - self._disturbed_s
+    def _fault_free_s(self) -> float:
+        return 0.0 if self._active_faults else time.monotonic() - self._last_fault_s
 
-    async def _disturb(self, fault: Callable[[], Awaitable[None]]) -> None:
-        self._disturbing += 1
+    async def _run_fault(self, fault: Callable[[], Awaitable[None]]) -> None:
+        self._active_faults += 1
         try:
             await fault()
         finally:
-            self._disturbing -= 1
-            self._disturbed_s = time.monotonic()
+            self._active_faults -= 1
+            self._last_fault_s = time.monotonic()
 
     async def _kill_all_once(self) -> None:
         await asyncio.sleep(self._seconds / 2)
-        await self._disturb(self._routers.kill_all)
+        await self._run_fault(self._routers.kill_all)
 
     # faults
 
@@ -236,17 +246,17 @@
             fault = self.random.choice(faults)
             self.counts[f"fault {fault.__name__.strip('_')}"] += 1
             disturbs = fault in (*routers, *links, *store)
-            running.append(asyncio.ensure_future(self._disturb(fault) if disturbs else fault()))
+            running.append(asyncio.ensure_future(self._run_fault(fault) if disturbs else fault()))
         await asyncio.gather(*running)
 
-    async def _spell(self) -> None:
+    async def _wait_fault_period(self) -> None:
         await asyncio.sleep(self.random.uniform(*SPELL_S))
 
     async def _disturb_store(self) -> None:
-        way = self.random.choice(("silent", "refusing", "losing_writes"))
-        setattr(self._store, way, 503 if way == "refusing" else True)
-        await self._spell()
-        setattr(self._store, way, 0 if way == "refusing" else False)
+        mode = self.random.choice(("silent", "refusing", "losing_writes"))
+        setattr(self._store, mode, 503 if mode == "refusing" else True)
+        await self._wait_fault_period()
+        setattr(self._store, mode, 0 if mode == "refusing" else False)
 
     async def _disturb_worker(self) -> None:
         await disturb(self.random.choice(self._workers)[2], self.random)
@@ -254,29 +264,29 @@
     async def _spoil_worker(self) -> None:
         worker = self.random.choice(self._workers)[1]
         worker.bad_part = self.random.uniform(0.1, 0.8)
-        await self._spell()
+        await self._wait_fault_period()
         worker.bad_part = 0.0
 
     async def _replace_worker(self) -> None:
         service, worker, link = self._workers.pop(self.random.randrange(len(self._workers)))
         await self._add_worker(service)
         if self.random.random() < 0.5:
-            await self._list(service, worker, link, state="draining")
-            await self._spell()
+            await self._publish(service, worker, link, state="draining")
+            await self._wait_fault_period()
         await self._store.remove("servers", worker.name)
 
     async def _restart_worker(self) -> None:
-        """End a worker, and start it again under its name and at its address."""
+        """Terminate a worker and restart it with the same name and address."""
         service, old, link = self._workers.pop(self.random.randrange(len(self._workers)))
         await old.end()
         await asyncio.sleep(self.random.uniform(0.0, 0.3))
         worker = old.next_life()
-        await self._enter(worker)
+        await self._start_worker(worker)
         self._workers.append((service, worker, link))
-        await self._list(service, worker, link)
+        await self._publish(service, worker, link)
 
     async def _write_badly(self) -> None:
-        """Have another writer overwrite an entry, enter one, or spoil the configuration."""
+        """Overwrite a worker's entry, add one, or spoil the configuration, as a foreign writer."""
         service, worker, link = self.random.choice(self._workers)
         entry = {**worker.entry(service), "address": link.address}
         bad: tuple[Any, ...] = (
@@ -290,11 +300,11 @@
         await self._store.put("servers", name, self.random.choice(bad))
         if self.random.random() < 0.3:
             await self._store.put("op", "config", self.random.choice((b"{", {"tenants": []})))
-        await self._spell()
+        await self._wait_fault_period()
         await self._configure()
         await self._store.remove("servers", "i-foreign")
         if (service, worker, link) in self._workers:
-            await self._list(service, worker, link)
+            await self._publish(service, worker, link)
 
     async def _revoke(self) -> None:
         old, self._key = self._key, f"key-{self._version}"
@@ -303,26 +313,26 @@
 
     # callers
 
-    async def _calls(self, number: int) -> None:
+    async def _run_caller(self, number: int) -> None:
         keys = [self._key]
         while not self._stopping:
             if self._key != keys[-1]:
                 keys.append(self._key)
             path = self.random.choice([*KINDS, *STREAMS])
-            # Some callers go on with a key long after it was taken away.
+            # Some callers keep using a key long after its revocation.
             key = self.random.choice(keys[-3:])
             router = self.random.randrange(self._count)
             with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError):
                 async with asyncio.timeout(ANSWER_S):
                     body = b'{"caller": %d}' % number
-                    await self._calls_made.call(path, key, self._routers.address(router), body)
+                    await self._calls.call(path, key, self._routers.address(router), body)
                 continue
             self.counts["no answer"] += 1
             await asyncio.sleep(0.05)
 
 
 def play(seed: int, seconds: float, *, routers: int = ROUTERS, ends_only: bool = False) -> Soak:
-    """Play one seed; returns it with its counts and what was broken."""
+    """Play one seed; return the soak with its counts and broken promises."""
     with tempfile.TemporaryDirectory() as folder:
         soak = Soak(seed, seconds, Path(folder), routers=routers, ends_only=ends_only)
         whole = False
@@ -330,22 +340,22 @@
             asyncio.run(soak.run())
             whole = not soak.broken
         finally:
-            # Also where the soak itself fails, as when a router does not begin.
+            # Also if the soak itself fails, for example because a router does not become ready.
             if not whole:
-                _keep_logs(Path(folder), Path("bench/out") / f"soak-{seed}")
+                _copy_logs(Path(folder), Path("bench/out") / f"soak-{seed}")
         return soak
 
 
-def _keep_logs(folder: Path, kept: Path) -> None:
-    kept.mkdir(parents=True, exist_ok=True)
+def _copy_logs(folder: Path, log_directory: Path) -> None:
+    log_directory.mkdir(parents=True, exist_ok=True)
     for log in folder.glob("*.log"):
-        (kept / log.name).write_bytes(log.read_bytes())
+        (log_directory / log.name).write_bytes(log.read_bytes())
 
 
 def main() -> int:
     """Play seeds from the command line."""
-    # Ended by SIGTERM, the soak still ends its routers: left behind, they hold addresses and call a
-    # store whose port a later run's worker may have.
+    # On SIGTERM the soak still terminates its routers. Orphaned routers would hold addresses and
+    # call a store port that a worker of a later run may have.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_TERMINATED))
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1, help="first seed")
--- a/packages/standins/src/tamarack_standins/platform_store.py
+++ b/packages/standins/src/tamarack_standins/platform_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store: rows, changes by waiting, and the ways in which it fails."""
+"""A stand-in of the platform's store: rows, long-polled changes and injectable faults."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StoredRow(NamedTuple):
-    """A row and the version of its last change; `value` is None once it was removed."""
+    """A row and the version of its last change; `value` is None after removal."""
 
     value: bytes | None
     version: int
@@ -24,13 +24,14 @@
     Attributes
     ----------
     refusing
-        Status with which all calls are refused; zero to serve.
+        Status with which all calls are rejected; zero to serve.
     silent
-        Whether calls are taken and never answered.
+        Whether calls are accepted and never answered.
     losing_writes
-        Whether writes are done and not answered.
+        Whether writes are applied and not answered.
     late_s
-        Seconds after which writes that are not answered are done, if their condition still holds.
+        If not zero, writes are not answered, and are applied after this many seconds if their
+        condition still holds.
     """
 
     def __init__(self) -> None:
@@ -69,22 +70,22 @@
             await self._runner.cleanup()
 
     async def put(self, table: str, key: str, value: Any) -> int:
-        """Write a row as the operator or a worker does; returns its version."""
+        """Write a row as the operator or a worker would; return its version."""
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         return await self._change(table, key, data)
 
     async def remove(self, table: str, key: str) -> int:
-        """Remove a row."""
+        """Remove a row; return the version of the removal."""
         return await self._change(table, key, None)
 
     async def forget_history(self) -> None:
-        """Drop what was changed so far; waiting calls are told that it is gone."""
+        """Drop the history of changes; calls that wait for older ones are answered 410 (gone)."""
         async with self._changed:
             self._oldest = self._version
             self._changed.notify_all()
 
     def rows(self, table: str) -> dict[str, bytes]:
-        """Rows of a table that are there."""
+        """Rows of a table, without removed ones."""
         found = self._tables.get(table, {})
         return {key: row.value for key, row in found.items() if row.value is not None}
 
@@ -142,7 +143,7 @@
             return failed
         call = await request.json()
         if self.late_s:
-            await self._abandon(request, self.late_s)
+            await self._abort_and_wait(request, self.late_s)
         if not self._holds(call):
             return web.json_response({"rows": [], "ver": self._version}, status=412)
         for row in call.get("puts", []):
@@ -150,10 +151,10 @@
         for row in call.get("remove", []):
             await self._change(row["table"], row["key"], None)
         if self.losing_writes:
-            await self._abandon(request, 0.0)
+            await self._abort_and_wait(request, 0.0)
         return web.json_response({"ver": self._version, "nowMs": 0})
 
-    async def _abandon(self, request: web.Request, pause_s: float) -> None:
+    async def _abort_and_wait(self, request: web.Request, pause_s: float) -> None:
         if request.transport is not None:
             request.transport.abort()
         await asyncio.sleep(pause_s)
--- a/packages/standins/src/tamarack_standins/platform_worker.py
+++ b/packages/standins/src/tamarack_standins/platform_worker.py
@@ -1,6 +1,6 @@
-"""A stand-in of the platform's workers: plain answers, streams, and the ways in which they fail.
+"""A stand-in of the platform's workers: plain answers, streams and failures.
 
-How a request is answered is said by a `Script`; what arrived is kept, so that tests can count runs.
+A `Script` sets how a request is answered; requests are recorded, so that tests can count runs.
 """
 
 from __future__ import annotations
@@ -24,32 +24,34 @@
     Attributes
     ----------
     status, body
-        Of a plain answer.
+        Status and body of a plain answer.
     not_run
-        Whether the answer promises that the request has not run.
+        Whether the answer states that the request did not run.
     signed
-        Whether a success bears the signature.
+        Whether an answer carries the worker's signature; one with `not_run` never does.
     attempt
-        Attempt that the answer names in place of the request's own.
+        Attempt id that the answer carries in place of the request's own.
     reset
-        Whether the connection is reset in place of an answer.
+        Whether the connection is reset instead of answered.
     silent
-        Whether no answer comes at all.
+        Whether no answer is sent at all.
     extra
-        Bytes sent after a whole answer.
+        Bytes sent after a complete answer.
     unframed
-        Whether the body has no length and ends with the connection.
+        Whether the body has no length and is delimited by the close of the connection.
+    truncated
+        Whether the last byte of the body is missing.
     events
-        Events of a stream, None for a plain answer; `cut_after` ends it after so many, in the
-        middle of the next.
+        Number of events of a stream, None for a plain answer; `cut_after` resets the connection
+        after so many, in the middle of the next.
     pause_s, event_pause_s
-        Seconds before the answer begins, and before each event of a stream.
+        Delay in seconds before the answer, and before each event of a stream.
     echo
-        Whether the body, or each event's data, is the attempt's id.
+        Whether the body, or each event's data, is the attempt id.
     early
-        Whether the answer goes out before the request's body has been read.
+        Whether the answer is sent before the request's body has been read.
     fatal
-        Whether the worker ends as it begins to answer, with all that it runs.
+        Whether the worker crashes as it begins to answer, with all requests that it runs.
     """
 
     status: int = 200
@@ -72,11 +74,11 @@
 
 
 FATAL = Script(fatal=True, pause_s=0.01)
-"""How a worker answers what ends it: it runs for a moment before."""
+"""Script of a request that crashes the worker, 10 ms after its arrival."""
 
 
 class Arrived(NamedTuple):
-    """A request as it reached the worker."""
+    """A request as received by the worker."""
 
     method: str
     target: str
@@ -90,24 +92,25 @@
     Parameters
     ----------
     name
-        Its id; a request that names another one is answered 421.
+        Its id; a request that targets another id is answered 421.
     scripts
-        Ways to answer, one for each request; the last one stays in use.
+        Scripts for successive requests; the last one is reused for all further requests.
     port
         Port to listen on; zero takes a free one.
 
     Attributes
     ----------
     kept
-        Prompt parts that it tells to keep, by id and size.
+        Prefix blocks that it reports as cached: id, and size in tokens.
     born
-        Start of its life; another one under the same name is another life. None to tell none.
+        Start of its incarnation in milliseconds since the Unix epoch; another value under the same
+        name is another incarnation. None reports no start.
     answering
-        Cleared to hold requests that have arrived until it is set again.
+        Cleared to delay received requests until it is set again.
     fatal
-        Bodies of requests that end the worker as it begins to answer them.
+        Bodies of requests that crash the worker as it begins to answer them.
     on_fatal, on_end
-        Called with the body of such a request when it arrives, and when it has ended the worker.
+        Called when such a request arrives, with its body, and when the worker has crashed.
     """
 
     def __init__(
@@ -124,8 +127,8 @@
         self.answering = asyncio.Event()
         self.answering.set()
         self.fatal: frozenset[bytes] = frozenset()
-        self.on_fatal: Callable[[bytes], None] = _nobody_asks
-        self.on_end: Callable[[], None] = _nobody
+        self.on_fatal: Callable[[bytes], None] = _ignore_fatal
+        self.on_end: Callable[[], None] = _ignore_end
         self._scripts = list(scripts) or [Script()]
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
@@ -145,7 +148,7 @@
         await self.end()
 
     async def end(self) -> None:
-        """End as a killed process does: what runs is broken off."""
+        """Terminate like a killed process: running requests are cut off."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -153,7 +156,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def crash(self) -> None:
-        """End at once from within: no connection is accepted, and all open ones break."""
+        """Crash from within a request: accept no more connections and break all open ones."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -162,7 +165,7 @@
         self.on_end()
 
     def entry(self, service: str, *, state: str = "ready", slots: int = 4) -> dict[str, object]:
-        """Its entry in the list of workers."""
+        """Its row in the store's list of workers."""
         entry: dict[str, object] = {
             "service": service,
             "address": self.address,
@@ -181,26 +184,28 @@
             self._tasks.add(task)
         self.connections += 1
         try:
-            while await self._one(reader, writer):
+            while await self._serve_request(reader, writer):
                 pass
         except (OSError, asyncio.IncompleteReadError):
             self.closed_early += 1
         except asyncio.CancelledError:
-            # The stand-in is closing; asyncio's streams would print a cancelled task as an error.
+            # The stand-in is closing; asyncio's streams would log a cancelled task as an error.
             self.closed_early += 1
         finally:
             writer.close()
             if task is not None:
                 self._tasks.discard(task)
 
-    async def _one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _serve_request(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         try:
             head = await reader.readuntil(b"\r\n\r\n")
         except asyncio.IncompleteReadError:
             return False
         arrived = _request(head)
         if arrived.target == "/api/kv-list":
-            self._tell_kept(writer)
+            self._write_cached(writer)
             return True
         early = self._scripts[0].early and len(self._scripts) == 1
         if early:
@@ -235,14 +240,14 @@
             return await self._stream(script, arrived, writer)
         return await self._answer(script, arrived, writer)
 
-    def _tell_kept(self, writer: asyncio.StreamWriter) -> None:
+    def _write_cached(self, writer: asyncio.StreamWriter) -> None:
         held = [["", part, tokens, "m"] for part, tokens in self.kept]
-        told = {"epoch": 1, "next": 1, "held": held, "born": self.born}
-        body = json.dumps(told).encode()
+        listing = {"epoch": 1, "next": 1, "held": held, "born": self.born}
+        body = json.dumps(listing).encode()
         writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%s" % (len(body), body))
 
     def _next_script(self, arrived: Arrived) -> Script:
-        """The way to answer a request; a subclass may choose by what arrived."""
+        """The script for a request; a subclass may choose by the request."""
         return self._scripts.pop(0) if len(self._scripts) > 1 else self._scripts[0]
 
     async def _until_closed(self, reader: asyncio.StreamReader) -> None:
@@ -319,9 +324,9 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def _nobody() -> None:
-    """Stands where nobody waits for the worker's end."""
+def _ignore_end() -> None:
+    """Default of `on_end`: does nothing."""
 
 
-def _nobody_asks(body: bytes) -> None:
-    """Stands where nobody asks which requests end the worker."""
+def _ignore_fatal(body: bytes) -> None:
+    """Default of `on_fatal`: does nothing."""
--- a/packages/standins/src/tamarack_standins/prefix_cache.py
+++ b/packages/standins/src/tamarack_standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""A prompt prefix cache with limited memory and late, gappy events."""
+"""A prompt prefix cache with limited capacity and delayed, incomplete events."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from typing import TypedDict
 
 EVENT_DROP_EVERY = 10
+"""One event in this many is dropped."""
 
 
 class CacheEvent(TypedDict):
@@ -18,7 +19,7 @@
 
 
 class PrefixCache:
-    """Least recently used prefixes, counted in tokens."""
+    """An LRU cache of prefixes; its capacity is in tokens."""
 
     def __init__(self, capacity_tokens: int, event_lag_ms: float) -> None:
         self._capacity = capacity_tokens
@@ -26,20 +27,20 @@
         self._prefixes: OrderedDict[str, int] = OrderedDict()
         self._used = 0
         self._events: list[CacheEvent] = []
-        self._numbers = 0
+        self._last_number = 0
 
     def hit(self, prefix: str, tokens: int, now_ms: float) -> bool:
-        """Look a prefix up and store it; True if it was there."""
+        """Look up a prefix and store it; True if it was cached."""
         if prefix in self._prefixes:
             self._prefixes.move_to_end(prefix)
             return True
         self._prefixes[prefix] = tokens
         self._used += tokens
-        self._note("stored", prefix, now_ms)
+        self._record_event("stored", prefix, now_ms)
         while self._used > self._capacity and len(self._prefixes) > 1:
             old, size = self._prefixes.popitem(last=False)
             self._used -= size
-            self._note("evicted", old, now_ms)
+            self._record_event("evicted", old, now_ms)
         return False
 
     def events_after(self, number: int, now_ms: float) -> list[CacheEvent]:
@@ -47,9 +48,9 @@
         due = now_ms - self._lag_ms
         return [e for e in self._events if e["number"] > number and e["at"] <= due]
 
-    def _note(self, kind: str, prefix: str, now_ms: float) -> None:
-        self._numbers += 1
-        if self._numbers % EVENT_DROP_EVERY:
-            event = CacheEvent(number=self._numbers, kind=kind, prefix=prefix, at=now_ms)
+    def _record_event(self, kind: str, prefix: str, now_ms: float) -> None:
+        self._last_number += 1
+        if self._last_number % EVENT_DROP_EVERY:
+            event = CacheEvent(number=self._last_number, kind=kind, prefix=prefix, at=now_ms)
             self._events.append(event)
             del self._events[:-1000]
--- a/packages/standins/src/tamarack_standins/processes.py
+++ b/packages/standins/src/tamarack_standins/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of a development fleet, ended by pid."""
+"""Child processes of a development fleet, terminated by pid."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Processes:
-    """Starts Python modules and ends every one of them on leaving."""
+    """Starts Python modules as processes and terminates all of them on exit."""
 
     def __init__(self) -> None:
         self._children: dict[str, subprocess.Popen[bytes]] = {}
@@ -32,7 +32,7 @@
     ) -> None:
         for child in self._children.values():
             with contextlib.suppress(ProcessLookupError):
-                # A child that a test stopped cannot take the signal to end.
+                # A child stopped by SIGSTOP handles SIGTERM only after SIGCONT.
                 os.kill(child.pid, signal.SIGCONT)
                 child.terminate()
         deadline = time.monotonic() + STOP_TIMEOUT_S
@@ -74,11 +74,11 @@
         self._children[name].send_signal(number)
 
     def wait(self, name: str, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Wait for a child's end; give its exit code."""
+        """Wait until a child exits; return its exit code."""
         return self._children[name].wait(timeout_s)
 
     def running(self, name: str) -> bool:
-        """Whether a child runs."""
+        """Whether a child is running."""
         return self._children[name].poll() is None
 
 
@@ -87,6 +87,6 @@
     assert child.stdout is not None
     line = child.stdout.readline()
     if not line:
-        raise RuntimeError("a stand-in ended before it was ready")
+        raise RuntimeError("stand-in process exited before it was ready")
     ready: dict[str, Any] = json.loads(line)
     return ready
--- a/packages/standins/src/tamarack_standins/rate_limit.py
+++ b/packages/standins/src/tamarack_standins/rate_limit.py
@@ -1,4 +1,4 @@
-"""A token bucket over the wall of one process's monotonic clock."""
+"""A token bucket on the process's monotonic clock."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
         self._at = time.monotonic()
 
     def allow(self, cost: float = 1.0) -> bool:
-        """Take `cost` tokens if they are there."""
+        """Take `cost` tokens if they are available."""
         now = time.monotonic()
         self._tokens = min(self._per_second, self._tokens + (now - self._at) * self._per_second)
         self._at = now
--- a/packages/standins/src/tamarack_standins/run_log.py
+++ b/packages/standins/src/tamarack_standins/run_log.py
@@ -1,4 +1,4 @@
-"""What a stand-in ran; the at-most-once checks read it."""
+"""The log of what a stand-in ran, read by the at-most-once checks."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class RunRecord(TypedDict):
-    """One run; times in milliseconds since the Unix epoch, `finished` zero while it goes on.
+    """One run; times in milliseconds since the Unix epoch, `finished` is zero during the run.
 
-    `marker` is what the caller put into its request to know it by, whatever ids it got since.
+    `marker` is the caller's own id in the request's body; routers assign other ids.
     """
 
     request: str
@@ -26,12 +26,12 @@
 
 
 class RunLog:
-    """Records in order of their start.
+    """Run records in order of their start.
 
     Parameters
     ----------
     path
-        File that each start and end is also appended to, so that a crash loses no record.
+        File to which each start and finish is also appended, so that a crash loses no record.
     """
 
     def __init__(self, path: str = "") -> None:
@@ -46,7 +46,7 @@
     def start(
         self, request: str, workspace: str, operation: str, marker: str, prompt_tokens: int = 0
     ) -> RunRecord:
-        """Record that a run began."""
+        """Record the start of a run."""
         record = RunRecord(
             request=request,
             workspace=workspace,
@@ -63,7 +63,7 @@
         return record
 
     def finish(self, record: RunRecord, state: str) -> None:
-        """Record that a run ended."""
+        """Record the end of a run."""
         record["finished"] = time.time() * 1000
         record["state"] = state
         self._append(record)
@@ -74,7 +74,7 @@
 
 
 def read_log_file(path: Path) -> list[RunRecord]:
-    """Read a log file; the last line of a run counts."""
+    """Read a log file; the last line of each run is used."""
     runs: dict[tuple[str, float], Any] = {}
     for line in path.read_text().splitlines():
         record = json.loads(line)
--- a/packages/standins/src/tamarack_standins/server.py
+++ b/packages/standins/src/tamarack_standins/server.py
@@ -1,4 +1,4 @@
-"""Runs a stand-in's routes until SIGTERM, and tells its address on standard output."""
+"""Runs a stand-in's routes until SIGTERM, and prints its address on standard output."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 async def serve(
     app: web.Application, listen: str, task: Callable[[], Awaitable[None]] | None = None
 ) -> None:
-    """Serve at `IP:PORT` until the process is told to stop."""
+    """Serve at `IP:PORT` until SIGTERM or SIGINT."""
     host, _, port = listen.rpartition(":")
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=1.0)
     await runner.setup()
--- a/packages/standins/src/tamarack_standins/soak_callers.py
+++ b/packages/standins/src/tamarack_standins/soak_callers.py
@@ -1,4 +1,4 @@
-"""The callers of a soak: what they send, and what they check of the answers."""
+"""The callers of a soak: the requests that they send, and the checks of the answers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 ANSWER_S = 8.0
 KINDS = {"/page/": "non_idempotent", "/search/": "idempotent"}
 STREAMS = {"/rewrite/": False, "/draft/": True}
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+"""Statuses that state that the request did not run."""
 
 
 class Sent(NamedTuple):
@@ -26,19 +27,19 @@
 
 
 class SoakCalls:
-    """Sends requests, and keeps what their callers were told.
+    """Sends requests and records their answers.
 
     Parameters
     ----------
     counts, broken
-        Take answers by status, and what was broken.
+        Updated with the number of answers by status, and with broken promises.
 
     Attributes
     ----------
     sent
-        All requests by their attempts.
+        All requests by attempt id.
     promised
-        Attempts that were answered as not run.
+        Ids of attempts whose answer states that they did not run.
     """
 
     def __init__(self, draws: random.Random, counts: Counter[str], broken: list[str]) -> None:
@@ -49,7 +50,7 @@
         self.promised: set[str] = set()
 
     async def call(self, path: str, key: str, address: str, body: bytes) -> None:
-        """Send a request to a router, and check what comes back."""
+        """Send a request to a router and check the answer."""
         host, _, port = address.partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         attempt = f"a{len(self.sent)}"
@@ -71,7 +72,7 @@
         head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
         status = int(head.split(" ")[1])
         self._counts[str(status)] += 1
-        if status in PROMISES:
+        if status in NOT_RUN_STATUSES:
             self.promised.add(attempt)
         if "content-type: text/plain" in head and sent not in FATAL_BODIES:
             self._counts["others quarantined"] += 1
--- a/packages/standins/src/tamarack_standins/soak_routers.py
+++ b/packages/standins/src/tamarack_standins/soak_routers.py
@@ -1,4 +1,4 @@
-"""The routers of a soak: real processes, and the faults that signals bring them."""
+"""The routers of a soak: real processes, and the faults that are injected by signals."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 GRACE_S = 6.0
 REVOKE_MS = 3_000.0
 SPELL_S = (0.3, 2.5)
-"""Seconds that a pause or another lasting fault goes on."""
+"""Range of the duration of a pause or another lasting fault, in seconds."""
 
-STEP_S = (0.0, 1.0)
-"""Seconds between two routers of a rolling restart."""
+ROLL_INTERVAL_S = (0.0, 1.0)
+"""Range of the time between two routers of a rolling restart, in seconds."""
 
-BEGIN_S = 30.0
-"""Seconds for all routers to become ready before faults begin; on a free machine it takes one. A
-fault that strikes while they load their libraries is one that no caller can see, and a run that
-ends before they are ready shows nothing."""
+READY_TIMEOUT_S = 30.0
+"""Timeout in seconds for all routers to become ready before faults begin; on an idle machine they
+take one. A fault while they load their libraries would be invisible to callers, and a run that ends
+before they are ready would test nothing."""
 
 
 class SoakRouters:
-    """Starts, ends and disturbs the routers; each reaches the store by a proxy of its own.
+    """Starts and stops the routers and injects faults; each router has its own proxy to the store.
 
     Parameters
     ----------
     folder
-        For settings files and logs.
+        Directory for settings files and logs.
     port
-        First of ten ports; routers have addresses of their own.
+        First of ten ports, the same for all routers; each router has its own IP address.
     store
         Address of the store.
     broken
-        Called with each promise that a router broke.
+        Called with a sentence for each promise that a router broke.
     """
 
     def __init__(
@@ -71,23 +71,23 @@
         return self
 
     async def __aexit__(self, *exc: object) -> None:
-        await asyncio.gather(*(self._end(number) for number in list(self._processes)))
+        await asyncio.gather(*(self._kill(number) for number in list(self._processes)))
         await self._stack.aclose()
 
     def address(self, number: int, offset: int = 0) -> str:
-        """Address of a router; offset 0 is the one for callers."""
+        """Address of a router; port offset 0 is the one for callers."""
         return f"127.0.{1 + self._port % 200}.{number + 2}:{self._port + offset}"
 
     async def until_ready(self) -> None:
-        """Wait until all routers take callers; raises `TimeoutError` if one does not."""
-        async with asyncio.timeout(BEGIN_S):
+        """Wait until all routers are ready; raises `TimeoutError` if one is not in time."""
+        async with asyncio.timeout(READY_TIMEOUT_S):
             for number in range(self._count):
                 while not await self._is_ready(number):
                     await asyncio.sleep(0.05)
 
     async def kill(self) -> None:
         """Kill one router and start it again."""
-        picked = self._pick()
+        picked = self._pick_alive()
         if picked is not None:
             number, process = picked
             send_signal(process, signal.SIGKILL)
@@ -96,44 +96,44 @@
 
     async def kill_all(self) -> None:
         """Kill all routers at once and start them again."""
-        living = [(n, p) for n, p in self._processes.items() if p.returncode is None]
-        for _, process in living:
+        alive = [(n, p) for n, p in self._processes.items() if p.returncode is None]
+        for _, process in alive:
             send_signal(process, signal.SIGKILL)
-        for number, process in living:
+        for number, process in alive:
             await process.wait()
             await self._restart(number, process)
 
     async def terminate(self) -> None:
-        """Ask one router to stop, and start it again."""
-        picked = self._pick()
+        """Stop one router by SIGTERM, and start it again."""
+        picked = self._pick_alive()
         if picked is not None:
             await self._stop(*picked)
 
     async def roll(self) -> None:
-        """Ask all routers to stop, one soon after the other."""
+        """Restart all routers by SIGTERM, one shortly after the other."""
         stops = []
         for number, process in list(self._processes.items()):
             if process.returncode is None:
                 stops.append(asyncio.ensure_future(self._stop(number, process)))
-                await asyncio.sleep(self._random.uniform(*STEP_S))
+                await asyncio.sleep(self._random.uniform(*ROLL_INTERVAL_S))
         await asyncio.gather(*stops)
 
     async def pause(self) -> None:
-        """Stop one router in its tracks for a while."""
-        picked = self._pick()
+        """Suspend one router's process for a while."""
+        picked = self._pick_alive()
         if picked is None:
             return
         send_signal(picked[1], signal.SIGSTOP)
-        await self._spell()
+        await self._wait_fault_period()
         send_signal(picked[1], signal.SIGCONT)
 
     async def hang_up(self) -> None:
-        """Tell one router that its settings changed."""
-        if picked := self._pick():
+        """Send one router SIGHUP, on which it reloads its settings."""
+        if picked := self._pick_alive():
             send_signal(picked[1], signal.SIGHUP)
 
     async def disturb_link(self) -> None:
-        """Delay, reset, silence or cut one way one router's path to the store."""
+        """Delay, reset, block or block in one direction one router's connections to the store."""
         await disturb(self._random.choice(self.links), self._random)
 
     async def _is_ready(self, number: int) -> bool:
@@ -184,44 +184,44 @@
             async with asyncio.timeout(GRACE_S + 2):
                 code = await process.wait()
         except TimeoutError:
-            self._broken(f"router-{number} did not end in its grace time")
+            self._broken(f"router-{number} did not exit within its grace period")
             send_signal(process, signal.SIGKILL)
             code = await process.wait()
-        if code not in (0, -signal.SIGKILL) and not self._not_begun(number, code):
-            self._broken(f"router-{number} ended with {code}")
+        if code not in (0, -signal.SIGKILL) and not self._ended_before_start(number, code):
+            self._broken(f"router-{number} exited with {code}")
         await self._restart(number, process)
 
-    def _not_begun(self, number: int, code: int) -> bool:
-        # The interpreter itself ends by the signal until the program's first line has set a
-        # handler; that life has logged nothing.
+    def _ended_before_start(self, number: int, code: int) -> bool:
+        # Until the program's first line installs a handler, the signal terminates the interpreter
+        # itself; such a process has logged nothing.
         log = self._folder / f"router-{number}.log"
         return code == -signal.SIGTERM and log.stat().st_size == self._log_bytes[number]
 
-    async def _end(self, number: int) -> None:
+    async def _kill(self, number: int) -> None:
         process = self._processes[number]
         send_signal(process, signal.SIGCONT)
         send_signal(process, signal.SIGKILL)
         await process.wait()
 
     async def _restart(self, number: int, process: asyncio.subprocess.Process) -> None:
-        # Faults overlap: of those that ended the same process only one starts the next.
+        # Faults overlap: if several ended the same process, only the first starts the next one.
         if self._processes.get(number) is process:
             del self._processes[number]
             await self._start(number)
 
-    def _pick(self) -> tuple[int, asyncio.subprocess.Process] | None:
-        living = [(n, p) for n, p in self._processes.items() if p.returncode is None]
-        return self._random.choice(living) if living else None
+    def _pick_alive(self) -> tuple[int, asyncio.subprocess.Process] | None:
+        alive = [(n, p) for n, p in self._processes.items() if p.returncode is None]
+        return self._random.choice(alive) if alive else None
 
-    async def _spell(self) -> None:
+    async def _wait_fault_period(self) -> None:
         await asyncio.sleep(self._random.uniform(*SPELL_S))
 
 
 def send_signal(process: asyncio.subprocess.Process, number: signal.Signals) -> None:
     """Send a signal to a process, unless it has ended.
 
-    The process's own method polls it first, and takes the exit status of one that has just ended
-    from the event loop, which then reports 255.
+    `Process.send_signal` polls the process first, which reaps one that has just exited; the event
+    loop then misses its exit status and reports 255.
     """
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
@@ -229,15 +229,15 @@
 
 
 async def disturb(link: FaultProxy, draws: random.Random) -> None:
-    """Bring one of its faults to a link, and heal it after a while."""
-    way = draws.choice(("delay", "reset", "silence", "cut there", "cut back"))
-    if way == "delay":
+    """Inject a random fault into a link, and heal the link after a while."""
+    mode = draws.choice(("delay", "reset", "silence", "cut there", "cut back"))
+    if mode == "delay":
         link.delay_s = draws.uniform(0.02, 0.4)
-    elif way == "reset":
+    elif mode == "reset":
         link.reset_open()
-    elif way == "silence":
+    elif mode == "silence":
         link.silence_open()
-    elif way == "cut there":
+    elif mode == "cut there":
         link.cut_there = True
     else:
         link.cut_back = True
--- a/packages/standins/src/tamarack_standins/soak_worker.py
+++ b/packages/standins/src/tamarack_standins/soak_worker.py
@@ -1,4 +1,4 @@
-"""Workers of the platform's soak: they fail part of what they run, and come back after an end."""
+"""Workers of the platform's soak: they fail some of their requests, and restart after a crash."""
 
 from __future__ import annotations
 
@@ -8,21 +8,28 @@
 from tamarack_standins.platform_worker import BORN_MS, Arrived, PlatformWorker, Script
 from tamarack_standins.soak_ends import FATAL_BODIES
 
-NEXT_LIFE_MS = 1_000
-"""How much later the next life of a worker is born than the one before."""
+INCARNATION_STEP_MS = 1_000
+"""Milliseconds between the start times of two incarnations of a worker."""
 
 
 class SoakWorker(PlatformWorker):
-    """A worker that fails part of its requests, and tells of each run.
+    """A worker that fails some of its requests, and reports each run.
 
     Parameters
     ----------
     streams
-        Whether it answers with streams.
+        Whether its answers are streams.
     draws
-        Where its answers are drawn from.
+        Random source of its answers.
     ran
-        Called with each request that it runs, and whether it streams.
+        Called with each request that it runs, and whether the answer is a stream.
+    life
+        Start of its incarnation in milliseconds since the Unix epoch.
+
+    Attributes
+    ----------
+    bad_part
+        Probability that a request fails.
     """
 
     def __init__(
@@ -44,14 +51,14 @@
         self.fatal = FATAL_BODIES
 
     def next_life(self) -> SoakWorker:
-        """The worker that comes back at this one's address, under its name."""
+        """The next incarnation of this worker, with the same name and address."""
         port = int(self.address.rpartition(":")[2])
         return SoakWorker(
             self.name,
             streams=self._streams,
             draws=self._draws,
             ran=self._ran,
-            life=self._life + NEXT_LIFE_MS,
+            life=self._life + INCARNATION_STEP_MS,
             port=port,
         )
 
--- a/packages/standins/src/tamarack_standins/weight_store.py
+++ b/packages/standins/src/tamarack_standins/weight_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the weight store, which gives one model after another at a limited rate."""
+"""Stand-in of the weight store, which serves one model at a time at a limited rate."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class WeightStore:
-    """Loads take turns: each takes `load_ms` of the store."""
+    """Serves one load at a time; each takes `load_ms`."""
 
     def __init__(self, load_ms: float) -> None:
         self._load_ms = load_ms
