--- a/packages/bench/src/tamarack_bench/__main__.py
+++ b/packages/bench/src/tamarack_bench/__main__.py
@@ -38,7 +38,7 @@
 
 def main() -> int:
     """Run one of the tool's commands."""
-    # Ended by SIGTERM, the fleet's processes are still ended with it.
+    # On SIGTERM the fleet's processes are still terminated.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_TERMINATED))
     parser = argparse.ArgumentParser(prog="tamarack_bench", description=__doc__)
     commands = parser.add_subparsers(dest="command", required=True)
--- a/packages/bench/src/tamarack_bench/accounts.py
+++ b/packages/bench/src/tamarack_bench/accounts.py
@@ -1,4 +1,4 @@
-"""What the stand-ins' logs say: runs, shares, utilisation, doubles."""
+"""Figures from the stand-ins' logs: runs, shares, utilisation, duplicate runs."""
 
 from __future__ import annotations
 
@@ -23,7 +23,19 @@
 
 
 class Verdict(NamedTuple):
-    """What the promises to callers came to."""
+    """How far the promises to callers were kept, as numbers of requests.
+
+    Attributes
+    ----------
+    lost
+        Streams that broke off, and answered requests without a run.
+    doubled
+        Runs beyond the first of each request.
+    mixed
+        Answers with content that does not belong to the request.
+    false_refusals
+        Requests that were refused as not run, and ran.
+    """
 
     answered: int
     refused: int
@@ -40,12 +52,12 @@
 
 
 def read_runs(fleet: Fleet, kind: str = "") -> list[RunRecord]:
-    """Runs of all endpoints, of one kind or of both."""
+    """Runs of all endpoints, of one kind or of both kinds."""
     return fleet.runs(kind)
 
 
 def served_in(runs: list[RunRecord], window: Window) -> Counter[str]:
-    """Tokens per workspace that were produced in a window, each run's spread over its time."""
+    """Tokens per workspace that were produced in a window, spread evenly over each run's time."""
     served: Counter[str] = Counter()
     for run in runs:
         end = run["finished"] or window.end_ms
@@ -61,8 +73,8 @@
 ) -> dict[str, float]:
     """Weighted max-min shares of what was served.
 
-    A workspace without backlog got what it asked for; the rest belongs to the backlogged ones by
-    weight.
+    A workspace without backlog got all that it requested; the rest is divided between the
+    backlogged ones by weight.
     """
     rest = sum(served[name] for name in backlogged)
     weight = sum(weights.get(name, 1.0) for name in backlogged) or 1.0
@@ -82,14 +94,14 @@
 
 
 def doubled_runs(runs: list[RunRecord]) -> list[RunRecord]:
-    """Runs whose marker stands in the logs more than once, to find the cause."""
+    """Runs whose marker is in the logs more than once, for diagnosis."""
     runs_of = Counter(run["marker"] for run in runs if run["marker"])
     doubled = [run for run in runs if runs_of[run["marker"]] > 1]
     return sorted(doubled, key=lambda run: (run["marker"], run["started"]))
 
 
 def judge(results: list[Result], runs: list[RunRecord]) -> Verdict:
-    """Hold what callers were told against what endpoints ran, by the callers' own markers."""
+    """Compare the outcomes that callers saw with the endpoints' runs, by the callers' markers."""
     runs_of = Counter(run["marker"] for run in runs if run["marker"])
     outcomes = Counter(result.outcome for result in results)
     refused = [r for r in results if r.outcome == "not-run"]
--- a/packages/bench/src/tamarack_bench/bounds.py
+++ b/packages/bench/src/tamarack_bench/bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on figures, kept in a file and checked after a run."""
+"""Bounds on figures, read from a file and checked after a run."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def check(
     readings: list[Reading], bounds: dict[str, dict[str, dict[str, float]]], deployment: str
 ) -> list[Breach]:
-    """Find every figure beyond its bound; a figure that is missing is one too."""
+    """Find every figure beyond its bound; a missing figure is a breach too."""
     breaches = []
     for reading in readings:
         name = reading.scenario
--- a/packages/bench/src/tamarack_bench/capacity.py
+++ b/packages/bench/src/tamarack_bench/capacity.py
@@ -1,4 +1,4 @@
-"""Writes docs/CAPACITY.md from measured slopes and the sizes of the target."""
+"""Writes docs/CAPACITY.md from fitted slopes and the sizes of the target deployment."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Line(NamedTuple):
-    """A measured line: value = base + per_unit x size."""
+    """A fitted line: value = base + per_unit x size."""
 
     base: float
     per_unit: float
@@ -49,7 +49,7 @@
 
 
 class Row(NamedTuple):
-    """One line of a table against a budget."""
+    """One row of a table that compares a value with its budget."""
 
     what: str
     value: float
@@ -59,7 +59,7 @@
 
     @property
     def text(self) -> str:
-        """The line in Markdown."""
+        """The row in Markdown."""
         fits = "fits" if self.value <= self.budget else "**does not fit**"
         return (
             f"| {self.what} | {self.value:,.3g} {self.unit} | {self.budget:,.4g} {self.unit} "
@@ -78,7 +78,7 @@
 
 
 class Sizes(NamedTuple):
-    """What one daemon and one shard carry at the target."""
+    """The load of one daemon and one shard at the target."""
 
     requests: float
     tokens: float
@@ -90,7 +90,7 @@
 
     @classmethod
     def at_target(cls) -> Sizes:
-        """Work the sizes out from the target."""
+        """Compute the sizes from the target."""
         run_s = TOKENS_PER_S / REQUESTS_PER_S * TOKEN_MS / 1000
         per_service = math.ceil(WORKERS / MODELS / SHARD_SIZE)
         shards = per_service * MODELS
--- a/packages/bench/src/tamarack_bench/config_scenarios.py
+++ b/packages/bench/src/tamarack_bench/config_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of configuration: time until in force, and storms of changes."""
+"""Scenarios of configuration: time until a change is in force, and concurrent changes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     while waiting and time.monotonic() < deadline:
         for name, router in list(waiting.items()):
             applied = fleet.get_json(router.metrics, "/state")["applied"]
-            # A router that took several changes at once names only the last of them.
+            # A router that applied several changes at once reports only the last of them.
             later = [at for number, at in applied.items() if int(number) >= version]
             if later:
                 times.append(min(later))
@@ -82,7 +82,7 @@
 
 
 class _Storm(NamedTuple):
-    """What racing operators were told."""
+    """Outcomes of the changes of concurrent operators."""
 
     accepted: dict[str, int]
     refused: list[str]
@@ -108,7 +108,7 @@
                     storm.refused.append(entry)
 
 
-def _disturb(fleet: Fleet, chance: random.Random, stop: threading.Event) -> None:
+def _inject_faults(fleet: Fleet, rng: random.Random, stop: threading.Event) -> None:
     faults: list[list[dict[str, Any]]] = [
         [{"kind": "answer_lost", "times": 3, "path": "/transact"}],
         [{"kind": "slow", "value": 200, "times": 20, "path": "/"}],
@@ -119,9 +119,9 @@
     rounds = 0
     while not stop.wait(0.4):
         rounds += 1
-        fleet.set_faults(fleet.platform["address"], chance.choice(faults))
+        fleet.set_faults(fleet.platform["address"], rng.choice(faults))
         if rounds % 8 == 0:
-            name = names[1 + chance.randrange(len(names) - 1)]
+            name = names[1 + rng.randrange(len(names) - 1)]
             domain = fleet.routers[name].failure_domain
             fleet.processes.signal(name, signal.SIGKILL)
             fleet.processes.wait(name)
@@ -131,53 +131,53 @@
 
 @scenario("storm", "accepted changes lost or reverted through a storm of racing operators")
 def storm(options: Options) -> Reading:
-    """Race four operators through store faults and router restarts."""
-    told = _Storm({}, [], [])
+    """Run four concurrent operators through store faults and router restarts."""
+    outcomes = _Storm({}, [], [])
     lock = threading.Lock()
     stop = threading.Event()
-    falls: list[str] = []
+    regressions: list[str] = []
     with Fleet(DEPLOYMENTS[options.deployment], 6, log_dir=options.log_dir) as fleet:
-        watcher = threading.Thread(target=_watch_versions, args=(fleet, falls, stop))
-        disturber = threading.Thread(
-            target=_disturb, args=(fleet, random.Random(options.seed), stop)
+        watcher = threading.Thread(target=_watch_versions, args=(fleet, regressions, stop))
+        fault_injector = threading.Thread(
+            target=_inject_faults, args=(fleet, random.Random(options.seed), stop)
         )
         operators = [
             threading.Thread(
                 target=_operator,
-                args=(fleet, f"operator-{index}", STORM_CHANGES // OPERATORS, told, lock),
+                args=(fleet, f"operator-{index}", STORM_CHANGES // OPERATORS, outcomes, lock),
             )
             for index in range(OPERATORS)
         ]
         started = time.monotonic()
-        for thread in (watcher, disturber, *operators):
+        for thread in (watcher, fault_injector, *operators):
             thread.start()
         for thread in operators:
             thread.join()
         elapsed = time.monotonic() - started
         stop.set()
         watcher.join()
-        disturber.join()
+        fault_injector.join()
         fleet.wait_ready(list(fleet.routers))
         admin = fleet.admin()
         head = admin.call("GET", "preset")["version"]
         lagging = admin.wait_in_force(head, IN_FORCE_TIMEOUT_S).routers
         present = admin.call("GET", "workspaces")["entries"]
-        versions = sorted(told.accepted.values())
+        versions = sorted(outcomes.accepted.values())
     figures = {
-        "accepted": float(len(told.accepted)),
-        "accepted_per_s": len(told.accepted) / elapsed,
-        "raced_or_refused": float(len(told.refused)),
-        "told_unknown": float(len(told.unknown)),
-        "lost": float(sum(1 for entry in told.accepted if entry not in present)),
+        "accepted": float(len(outcomes.accepted)),
+        "accepted_per_s": len(outcomes.accepted) / elapsed,
+        "raced_or_refused": float(len(outcomes.refused)),
+        "told_unknown": float(len(outcomes.unknown)),
+        "lost": float(sum(1 for entry in outcomes.accepted if entry not in present)),
         "versions_given_twice": float(len(versions) - len(set(versions))),
-        "versions_fallen": float(len(falls)),
+        "versions_fallen": float(len(regressions)),
         "lagging": float(len(lagging)),
     }
     return Reading("storm", figures)
 
 
-def _watch_versions(fleet: Fleet, falls: list[str], stop: threading.Event) -> None:
-    """Note every router of one life whose version fell."""
+def _watch_versions(fleet: Fleet, regressions: list[str], stop: threading.Event) -> None:
+    """Record every router process whose version decreased."""
     seen: dict[int, int] = {}
     while not stop.wait(0.05):
         for router in list(fleet.routers.values()):
@@ -186,13 +186,13 @@
             except Exception:
                 continue
             if version < seen.get(router.pid, 0):
-                falls.append(router.router)
+                regressions.append(router.router)
             seen[router.pid] = version
 
 
 @scenario("config-cost", "what a change costs a router", standard=False)
 def config_cost(options: Options) -> Reading:
-    """Processor time and bytes of a router per change."""
+    """Measure a router's processor time under continuous changes."""
     with Fleet(DEPLOYMENTS[options.deployment], 4, log_dir=options.log_dir) as fleet:
         routers = list(fleet.routers.values())
         before = sum(cpu_seconds(r.pid) for r in routers[1:])
--- a/packages/bench/src/tamarack_bench/core_bench.py
+++ b/packages/bench/src/tamarack_bench/core_bench.py
@@ -1,4 +1,4 @@
-"""The dispatcher's core on a held clock: shards, decisions a second. It models no network."""
+"""The dispatcher's core with a simulated clock and no network: shards, decisions per second."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class _Shard:
-    """One dispatcher with endpoints that take time for tokens and nothing else."""
+    """One dispatcher, with endpoints that need time for tokens only."""
 
     def __init__(self, number: int, shards: int, slots: int, names: list[str], seed: int) -> None:
         self.random = random.Random(f"{seed}/{number}")
@@ -102,7 +102,15 @@
     take_turns: bool = True,
     seed: int = 1,
 ) -> GapReading:
-    """Serve backlogged workspaces from a number of shards and find the largest gap."""
+    """Serve backlogged workspaces from several shards; return the largest gap.
+
+    Parameters
+    ----------
+    count_for_others
+        Whether a shard estimates the others' service since the last exchange.
+    take_turns
+        Whether each shard delays a workspace by a different number of grants; without it by none.
+    """
     names = [f"w{index}" for index in range(workspaces)]
     fleet = [_Shard(number, shards, slots, names, seed) for number in range(shards)]
     if not take_turns:
@@ -142,7 +150,7 @@
 
 
 class DecisionReading(NamedTuple):
-    """Decisions a second of one dispatcher core."""
+    """Decisions per second of one dispatcher core."""
 
     workspaces: int
     endpoints: int
@@ -153,8 +161,8 @@
 def measure_decisions(
     workspaces: int, endpoints: int, *, rounds: int = 20_000, seed: int = 1
 ) -> DecisionReading:
-    """Time submit, grant and settlement together, all workspaces backlogged."""
-    chance = random.Random(seed)
+    """Time submission, grant and settlement together, with all workspaces backlogged."""
+    rng = random.Random(seed)
     policy = DispatchPolicy(queue_limit=10**6)
     dispatcher = Dispatcher(ShardKey("model", 0), 1, policy, 0.0, registration_ms=0.0)
     specs = [EndpointSpec(f"e{i}", "", "a", 8) for i in range(endpoints)]
@@ -167,12 +175,12 @@
     decisions = 0
     started = time.perf_counter()
     while decisions < rounds:
-        usages = [Usage(request, chance.randint(5, 500), USAGE_FINISHED) for request in running]
+        usages = [Usage(request, rng.randint(5, 500), USAGE_FINISHED) for request in running]
         dispatcher.usage(ROUTER, usages, 0.0)
         tickets = []
         for _ in range(max(1, len(running))):
             number += 1
-            tickets.append(Ticket(f"t{number}", chance.choice(names)))
+            tickets.append(Ticket(f"t{number}", rng.choice(names)))
         dispatcher.submit(ROUTER, tickets, 0.0)
         running = [
             grant.request
--- a/packages/bench/src/tamarack_bench/core_scenarios.py
+++ b/packages/bench/src/tamarack_bench/core_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios on the core alone, with a held clock."""
+"""Scenarios of the core alone, with a simulated clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @scenario("core-shards", "gap of 16 shards to the gap of one exact dispatcher")
 def core_shards(options: Options) -> Reading:
-    """Measure with turns and counting for others, and without each of them."""
+    """Measure with both turns and counting for others, without turns, and without either."""
     exact = measure_gap(1, slots=1024, seed=options.seed).gap_tokens
     both = measure_gap(16, seed=options.seed).gap_tokens
     counting = measure_gap(16, take_turns=False, seed=options.seed).gap_tokens
@@ -42,7 +42,7 @@
 
 @scenario("membership", "bytes of membership per router and second, by fleet size")
 def membership(options: Options) -> Reading:
-    """Count the encoded bytes of quiet fleets."""
+    """Count the encoded bytes of idle fleets."""
     readings = {size: measure_membership(size, seed=options.seed) for size in (8, 16, 32, 64)}
     figures = {f"bytes_per_s_{size}_routers": value for size, value in readings.items()}
     figures["ratio_64_to_8"] = readings[64] / readings[8]
--- a/packages/bench/src/tamarack_bench/demo.py
+++ b/packages/bench/src/tamarack_bench/demo.py
@@ -35,7 +35,7 @@
 
 
 def plans_for(deployment: Deployment) -> list[CallerPlan]:
-    """One flooding workspace, two large ones, and small ones that ask now and then."""
+    """One flooding workspace, two large ones, and small ones with occasional requests."""
     plans = []
     for index, name in enumerate(deployment.workspaces):
         if index == 0:
@@ -137,7 +137,7 @@
 
 def main() -> int:
     """Run the demo from the command line."""
-    # Ended by SIGTERM, the fleet's processes are still ended with it.
+    # On SIGTERM the fleet's processes are still terminated.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_TERMINATED))
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--deployment", choices=sorted(DEPLOYMENTS), default="domandina")
--- a/packages/bench/src/tamarack_bench/fair_scenarios.py
+++ b/packages/bench/src/tamarack_bench/fair_scenarios.py
@@ -30,7 +30,7 @@
     settings = {"TAMARACK_POLICY": policy}
     plans = mixed_plans(DEPLOYMENTS[options.deployment], flood=20)
     large = backlogged_of(DEPLOYMENTS[options.deployment])
-    # Tenants sit unevenly: two of the large ones at one router, and some routers with none.
+    # Uneven placement: two of the large workspaces at one router, and some routers with none.
     pinned = {name: [max(0, number - 1)] for number, name in enumerate(large)}
     with loaded_fleet(options, plans, settings=settings, pinned=pinned) as loaded:
         window = sleep_window(options.seconds)
@@ -38,7 +38,7 @@
 
 
 def _bound(account: Account, window: Window, gap: Gap) -> float:
-    """Two of the largest requests, and what a workspace is served in the time of one run."""
+    """Two of the largest requests, plus what a workspace is served in the mean time of one run."""
     large = set(backlogged_of(account.deployment))
     runs = [
         run
@@ -72,7 +72,7 @@
 
 
 def _after(account: Account, event_ms: float, length_s: float) -> dict[str, float]:
-    """Figures of the time after a failure, and of the time after recovery from it."""
+    """Figures of the time since a failure, and of the time since recovery from it."""
     whole = Window(event_ms, event_ms + (RECOVERY_S + length_s) * 1000)
     later = Window(event_ms + RECOVERY_S * 1000, whole.end_ms)
     gap = account.gap(later)
@@ -101,7 +101,7 @@
 
 @scenario("pause-dispatcher", "a dispatcher is stopped past its term and resumed")
 def pause_dispatcher(options: Options) -> Reading:
-    """Stop the dispatcher's process for longer than every timeout, then let it go on."""
+    """Suspend the dispatcher's process for longer than every timeout, then resume it."""
     with loaded_fleet(options) as loaded:
         name = loaded.dispatcher()
         loaded.fleet.processes.signal(name, signal.SIGSTOP)
@@ -126,13 +126,17 @@
     """Measure a small workspace's streams alone, then beside a flood."""
     deployment = DEPLOYMENTS[options.deployment]
     small = deployment.workspaces[-1]
-    # Requests run for up to half a second here, so a slot comes free within that.
-    quiet = CallerPlan(small, 2, 0.1, stream_part=1.0)
+    # Requests run for up to half a second here, so a slot becomes free within that time.
+    small_plan = CallerPlan(small, 2, 0.1, stream_part=1.0)
     others = [CallerPlan(n, 8) for n in backlogged_of(deployment)[1:]]
-    noisy = [quiet, *others, CallerPlan(deployment.workspaces[0], FLOOD_CALLERS)]
-    steady = [quiet, *others, CallerPlan(deployment.workspaces[0], 8)]
+    flooded_plans = [small_plan, *others, CallerPlan(deployment.workspaces[0], FLOOD_CALLERS)]
+    contended_plans = [small_plan, *others, CallerPlan(deployment.workspaces[0], 8)]
     figures: dict[str, float] = {}
-    for name, plans in (("alone", [quiet]), ("contended", steady), ("flooded", noisy)):
+    for name, plans in (
+        ("alone", [small_plan]),
+        ("contended", contended_plans),
+        ("flooded", flooded_plans),
+    ):
         with loaded_fleet(options, plans) as loaded:
             sleep_window(options.seconds)
             account = settle(loaded)
--- a/packages/bench/src/tamarack_bench/fleet_run.py
+++ b/packages/bench/src/tamarack_bench/fleet_run.py
@@ -1,4 +1,4 @@
-"""A fleet under load, with windows of time in which its accounts are taken."""
+"""A fleet under load, and the accounts of windows of time."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def sleep_window(seconds: float) -> Window:
-    """Let the load run for some seconds; give the window."""
+    """Let the load run for some seconds; return the window."""
     start = now_ms()
     time.sleep(seconds)
     return Window(start, now_ms())
@@ -58,7 +58,7 @@
 
 
 class LoadedFleet(NamedTuple):
-    """A fleet that carries a load."""
+    """A fleet under load."""
 
     fleet: Fleet
     load: Load
@@ -77,7 +77,7 @@
 
 
 class Account(NamedTuple):
-    """What a run came to, read before the fleet ended."""
+    """Runs and results of a load, read before the fleet is stopped."""
 
     runs: list[RunRecord]
     all_runs: list[RunRecord]
@@ -85,12 +85,12 @@
     deployment: Deployment
 
     def utilisation(self, window: Window) -> float:
-        """Busy slot time to slot time of the model engines."""
+        """Ratio of busy slot time to slot time of the model engines."""
         slots = model_slots(self.deployment)
         return busy_slots(self.runs, window) / (slots * window.length_ms)
 
     def idle_ms(self, window: Window, below: float = 0.9, step_ms: float = 50.0) -> float:
-        """Slot time that stood idle in the steps under a utilisation, per slot."""
+        """Idle time per slot, in milliseconds, in the steps with a utilisation under `below`."""
         idle = 0.0
         start = window.start_ms
         while start < window.end_ms:
@@ -101,7 +101,7 @@
         return idle
 
     def gap(self, window: Window) -> Gap:
-        """Gap between the backlogged workspaces."""
+        """Fairness gap between the backlogged workspaces."""
         return gap_over_time(self.runs, set(backlogged_of(self.deployment)), {}, window)
 
 
@@ -116,12 +116,12 @@
     deadline_s: float = 20.0,
     forward: bool = False,
 ) -> Iterator[LoadedFleet]:
-    """Start a fleet and its load; both have ended when the context ends.
+    """Start a fleet and its load; both are stopped at the end of the context.
 
     Parameters
     ----------
     pinned
-        Numbers of the routers that a workspace's callers use, in place of what they are told.
+        Numbers of the routers that a workspace's callers use, in place of the published addresses.
     """
     deployment = DEPLOYMENTS[options.deployment]
     with Fleet(
@@ -147,7 +147,7 @@
 
 
 def settle(loaded: LoadedFleet) -> Account:
-    """End the load and read the logs; to be called inside the context."""
+    """Stop the load and read the logs; to be called inside the context of `loaded_fleet`."""
     loaded.load.finish()
     return Account(
         read_runs(loaded.fleet, "model"),
--- a/packages/bench/src/tamarack_bench/gaps.py
+++ b/packages/bench/src/tamarack_bench/gaps.py
@@ -17,7 +17,7 @@
     Attributes
     ----------
     points
-        Seconds since the window's start, and the gap then.
+        Seconds since the window's start, and the gap at that time.
     largest_request
         Cost of the largest request in the window.
     """
@@ -41,7 +41,7 @@
 ) -> Gap:
     """Largest difference of service since the window's start, at each tenth of a second.
 
-    A run's tokens are spread evenly over its time, which is how an engine makes them.
+    A run's cost is spread evenly over its time, as an engine produces tokens at an even rate.
     """
     steps = int(window.length_ms / STEP_MS)
     served = {name: [0.0] * (steps + 1) for name in backlogged}
--- a/packages/bench/src/tamarack_bench/lengths.py
+++ b/packages/bench/src/tamarack_bench/lengths.py
@@ -1,4 +1,4 @@
-"""Reports long modules and functions, each a place to split by job."""
+"""Reports long modules and functions, as candidates for a split."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def main() -> int:
-    """Print what is long; it reports and never fails."""
+    """Print long modules and functions; never fails."""
     for root in sys.argv[1:]:
         for length in long_places(Path(root)):
             print(f"long: {length.place} has {length.lines} lines")
--- a/packages/bench/src/tamarack_bench/load.py
+++ b/packages/bench/src/tamarack_bench/load.py
@@ -1,4 +1,4 @@
-"""Callers in closed loops, and what became of each of their requests."""
+"""Closed-loop callers, and the outcome of each of their requests."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 from tamarack_client.address_book import NoRouterError
 
 START_SPREAD_S = 0.2
+"""Latest start of a caller after the start of the load, in seconds."""
 
 
 class CallerPlan(NamedTuple):
@@ -21,15 +22,15 @@
     Attributes
     ----------
     callers
-        Requests that it keeps in progress.
+        Number of callers; each has one request in progress at a time.
     think_s
-        Pause of each caller between requests.
+        Mean pause of each caller between requests, in seconds.
     stream_part
-        Part of the requests that are streams.
+        Fraction of the requests that are streams.
     plain_part
-        Part of the requests that go to the plain service.
+        Fraction of the requests that go to the plain service.
     tokens
-        Range of the answers' lengths.
+        Range of the answers' lengths, in tokens.
     """
 
     workspace: str
@@ -41,14 +42,15 @@
 
 
 class Result(NamedTuple):
-    """What became of one request; times in seconds of the monotonic clock.
+    """Outcome of one request; times in seconds of the monotonic clock.
 
     Attributes
     ----------
     outcome
-        `answered`, `not-run`, `unknown`, `mixed` (another's answer) or `cut`.
+        `answered`, `not-run`, `unknown`, `mixed` (not the content that belongs to the request) or
+        `cut` (a stream without its end).
     first_s
-        Time of the first byte of a stream, else of the answer.
+        Time of the first byte of a stream, otherwise of the answer.
     """
 
     workspace: str
@@ -65,14 +67,14 @@
 
 
 class Load:
-    """Drives the fleet with the callers of several workspaces.
+    """Loads the fleet with the callers of several workspaces.
 
     Parameters
     ----------
     model, plain
         Model and plain service to call.
     pinned
-        Addresses that a workspace's callers use in place of those that the fleet tells them.
+        Addresses that a workspace's callers use in place of those that the fleet publishes.
     """
 
     def __init__(
@@ -102,8 +104,8 @@
                 client.book.pin(pinned[plan.workspace])
             self._clients[plan.workspace] = client
             for number in range(plan.callers):
-                chance = random.Random(f"{seed}/{plan.workspace}/{number}")
-                thread = threading.Thread(target=self._loop, args=(plan, chance), daemon=True)
+                rng = random.Random(f"{seed}/{plan.workspace}/{number}")
+                thread = threading.Thread(target=self._loop, args=(plan, rng), daemon=True)
                 self._threads.append(thread)
 
     def __enter__(self) -> Load:
@@ -125,29 +127,29 @@
         return list(self._results)
 
     def finish(self) -> None:
-        """Stop asking and wait for what is in progress."""
+        """Stop sending requests and wait for those in progress."""
         self._stop.set()
         for thread in self._threads:
             thread.join(self._deadline_s + 10)
 
-    def _loop(self, plan: CallerPlan, chance: random.Random) -> None:
+    def _loop(self, plan: CallerPlan, rng: random.Random) -> None:
         client = self._clients[plan.workspace]
-        self._stop.wait(chance.random() * START_SPREAD_S)
+        self._stop.wait(rng.random() * START_SPREAD_S)
         number = 0
         while not self._stop.is_set():
             number += 1
-            self._results.append(self._one(client, plan, chance, number))
+            self._results.append(self._send_request(client, plan, rng, number))
             if plan.think_s:
-                self._stop.wait(plan.think_s * (0.5 + chance.random()))
+                self._stop.wait(plan.think_s * (0.5 + rng.random()))
 
-    def _one(self, client: Client, plan: CallerPlan, chance: random.Random, number: int) -> Result:
+    def _send_request(
+        self, client: Client, plan: CallerPlan, rng: random.Random, number: int
+    ) -> Result:
         started_s = time.monotonic()
-        kind = self._kind(plan, chance)
-        tokens = chance.randint(*plan.tokens)
-        prompt = f"{plan.workspace} asks {chance.randint(0, 20)} " + "please " * chance.randint(
-            2, 40
-        )
-        marker = f"{plan.workspace}/{id(chance):x}/{number}"
+        kind = self._kind(plan, rng)
+        tokens = rng.randint(*plan.tokens)
+        prompt = f"{plan.workspace} asks {rng.randint(0, 20)} " + "please " * rng.randint(2, 40)
+        marker = f"{plan.workspace}/{id(rng):x}/{number}"
         body = {
             "user": marker,
             "model": self._model,
@@ -169,8 +171,8 @@
         except NoRouterError:
             return _ended(result, "not-run", "unreachable")
 
-    def _kind(self, plan: CallerPlan, chance: random.Random) -> str:
-        draw = chance.random()
+    def _kind(self, plan: CallerPlan, rng: random.Random) -> str:
+        draw = rng.random()
         if draw < plan.plain_part:
             return "plain"
         return "stream" if draw < plan.plain_part + plan.stream_part else "whole"
@@ -211,12 +213,12 @@
 
 
 def is_whole(text: str, request_id: str, tokens: int) -> bool:
-    """Whether a text is exactly what an engine gives for a request id."""
+    """Whether a text is exactly what an engine stand-in generates for a request id."""
     return text == "".join(f"{request_id}#{number} " for number in range(tokens))
 
 
 def read_stream(data: bytes) -> tuple[str, str, bool]:
-    """Text, request id and whether the end came, of a stream of completion events."""
+    """Text and request id of a stream of completion events, and whether it has its final event."""
     text: list[str] = []
     request_id = ""
     for line in data.decode().splitlines():
--- a/packages/bench/src/tamarack_bench/measurements.py
+++ b/packages/bench/src/tamarack_bench/measurements.py
@@ -1,4 +1,4 @@
-"""Writes docs/MEASUREMENTS.md from the readings that are kept in the repository."""
+"""Writes docs/MEASUREMENTS.md from the readings that are stored in the repository."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def page(folder: Path = READINGS) -> str:
-    """A table for each kept reading, slopes left out."""
+    """The page: a table for each stored reading except slopes."""
     lines = [
         "# Measurements",
         "",
--- a/packages/bench/src/tamarack_bench/member_bench.py
+++ b/packages/bench/src/tamarack_bench/member_bench.py
@@ -1,4 +1,4 @@
-"""Membership of quiet fleets: cores that pass encoded messages, with no network between."""
+"""Membership of idle fleets: cores that exchange encoded messages without a network."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def measure_membership(routers: int, *, seed: int = 1) -> float:
-    """Bytes that one router sends a second when nothing happens, after all have met."""
+    """Bytes that one router sends per second in an idle fleet, after all routers have joined."""
     return _run(routers, seed)[0]
 
 
 def measure_member_cpu(routers: int, *, seed: int = 1) -> float:
-    """Processor time of one router for this, in microseconds a second, encoding included."""
+    """Processor time of one router for membership, in microseconds per second, with encoding."""
     return _run(routers, seed)[1]
 
 
--- a/packages/bench/src/tamarack_bench/naive_relay.py
+++ b/packages/bench/src/tamarack_bench/naive_relay.py
@@ -14,7 +14,7 @@
 
 
 class NaiveRelay:
-    """A WSGI application that relays to one endpoint after another."""
+    """A WSGI application that relays to its endpoints in turn."""
 
     def __init__(self, targets: list[str]) -> None:
         self._targets = targets
@@ -34,7 +34,7 @@
 
 
 def main() -> None:
-    """Serve until told to stop."""
+    """Serve until SIGTERM or SIGINT."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--target", action="append", required=True)
     args = parser.parse_args()
--- a/packages/bench/src/tamarack_bench/order_scenarios.py
+++ b/packages/bench/src/tamarack_bench/order_scenarios.py
@@ -67,7 +67,10 @@
 
 
 def _watch_reload(fleet: Fleet, engines: list[dict[str, Any]], moved: list[dict[str, Any]]) -> int:
-    """Wait until the engines have loaded the other model; give the fewest that took work."""
+    """Wait until the moved engines have loaded the other model.
+
+    Returns the smallest number of engines that accepted work at one time.
+    """
     deadline = time.monotonic() + RELOAD_TIMEOUT_S
     least = len(engines)
     while time.monotonic() < deadline:
--- a/packages/bench/src/tamarack_bench/path_scenarios.py
+++ b/packages/bench/src/tamarack_bench/path_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of the request path: what a router adds, and what control costs."""
+"""Scenarios of the request path: latency added by a router, and the cost of control."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class _Path(NamedTuple):
-    """One way to the engines: addresses, and the process that relays, if any."""
+    """One path to the engines: addresses, and the pid of the relaying process, 0 for none."""
 
     name: str
     addresses: list[str]
@@ -72,7 +72,7 @@
 
 
 def _first_bytes(options: Options) -> dict[str, float]:
-    """Added time to the first byte; engines step each millisecond, so as not to round it up."""
+    """Added time to the first byte; engines step every millisecond, which limits rounding."""
     quick = RELAY_DEPLOYMENT._replace(
         services=[s._replace(step_ms=QUICK_STEP_MS) for s in RELAY_DEPLOYMENT.services]
     )
@@ -131,7 +131,7 @@
 
 @scenario("control", "control bytes and messages per request, and per router and second")
 def control(options: Options) -> Reading:
-    """Count what routers send each other under load."""
+    """Count the bytes and messages that routers send each other under load."""
     deployment = DEPLOYMENTS[options.deployment]
     plans = [CallerPlan(name, 4, 0.05) for name in deployment.workspaces]
     with loaded_fleet(options, plans, routers=CONTROL_ROUTERS) as loaded:
--- a/packages/bench/src/tamarack_bench/quarantine_model.py
+++ b/packages/bench/src/tamarack_bench/quarantine_model.py
@@ -1,6 +1,6 @@
-"""A fleet in a model: routers with a quarantine each, engines that end, and callers that repeat.
+"""A discrete-event simulation of a fleet: routers with quarantines, crashing engines, retries.
 
-No sockets and no clock but the model's own; what the routers decide is the product's code.
+It has no sockets and only a simulated clock; the routers' decisions are made by the product's code.
 """
 
 from __future__ import annotations
@@ -20,32 +20,33 @@
 
 SETTLE_STEP_MS = 50.0
 RESEND_MS = 15.0
-MOST_SENDS = 2
-EARLY_MS = 500.0
+MAX_SENDS = 2
+RECENT_START_MS = 500.0
 
 CONTACT_MS = 3_000.0
-"""Time after which a router that runs and is reached has to know what the others know."""
+"""Time in milliseconds after which a running, reachable router must have the others' state."""
 
 
 class ModelOptions(NamedTuple):
-    """What is played.
+    """Options of a simulation.
 
     Attributes
     ----------
     per_s
-        Innocent requests a second, over all routers.
+        Unrelated requests (which crash nothing) per second, over all routers.
     guilty, guilty_gap_ms
-        Requests that end whoever runs them, and the time from one answer to the next repeat.
+        Number of culprits (requests that crash every engine that runs them), and the time from an
+        answer to a culprit until its next repeat.
     told_ms
-        Time from one router to the others.
+        Latency of a message from one router to the others.
     seen_ms
-        Latest time at which a router sees that an endpoint has ended.
+        Longest time until a router detects an endpoint's termination.
     back_ms
-        Time from an end to the endpoint's next life.
+        Time from a termination to the endpoint's next incarnation.
     hot_part
-        Part of the innocent requests that are one and the same.
+        Fraction of the unrelated requests that are one and the same.
     failures_ms
-        Times at which half of the engines end by themselves.
+        Times at which half of the engines fail without a culprit.
     """
 
     routers: int = 6
@@ -63,21 +64,21 @@
 
 
 class ModelResult(NamedTuple):
-    """What came of it.
+    """Result of a simulation.
 
     Attributes
     ----------
     ends
-        Endpoints that a request ended.
+        Number of endpoints that a culprit crashed.
     late
-        For each guilty request, arrivals later than 3 s after it had ended its third endpoint, from
-        routers that had run for 3 s at least: others cannot know yet, and the users excuse them.
+        For each culprit, arrivals later than 3 s after its third arrival, from routers that had run
+        for at least 3 s: younger routers can't have the state yet, and the users accept theirs.
     cut
-        Innocent sends that were cut by an end.
+        Unrelated sends that were cut off by a termination.
     quarantined
-        Innocent requests that were quarantined.
+        Unrelated requests that were quarantined.
     served
-        Part of the innocent requests that were answered.
+        Fraction of the unrelated requests that were answered.
     """
 
     ends: int
@@ -88,24 +89,24 @@
 
 
 class _Arrival(NamedTuple):
-    """A guilty request as it reached an engine."""
+    """Arrival of a culprit at an engine."""
 
     at_ms: float
-    in_touch: bool
+    in_contact: bool
 
 
 class _Send:
-    """One request at one engine."""
+    """One send of a request to an engine."""
 
     def __init__(self, request: _Request, router: int, begins_ms: float) -> None:
         self.request = request
         self.router = router
         self.begins_ms = begins_ms
-        self.apart = False
+        self.isolated = False
 
 
 class _Request:
-    """One attempt of a caller."""
+    """One request of a caller; retries of it are new requests."""
 
     def __init__(self, fingerprint: str, *, guilty: bool, repeats: int) -> None:
         self.fingerprint = fingerprint
@@ -115,12 +116,12 @@
 
 
 class QuarantineModel:
-    """Plays one set of options.
+    """Simulates a fleet with one set of options.
 
     Parameters
     ----------
     watching
-        Whether routers ask their quarantine; without it, every request is sent.
+        Whether routers consult their quarantine; without it, every request is sent.
     """
 
     def __init__(self, options: ModelOptions, *, watching: bool = True) -> None:
@@ -128,42 +129,44 @@
         self._watching = watching
         self._random = random.Random(options.seed)
         self._now_ms = 0.0
-        self._order = itertools.count()
+        self._event_numbers = itertools.count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._names = [f"r{n}" for n in range(options.routers)]
         self.routers = [self._quarantine(name) for name in self._names]
         self._started_ms = [-CONTACT_MS] * options.routers
-        self._lives = itertools.count(1)
+        self._incarnations = itertools.count(1)
         self._engines: dict[EndpointLife, dict[int, _Send]] = {}
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
         self._arrivals: dict[str, list[_Arrival]] = {}
         self._counts: Counter[str] = Counter()
         self.ended_ms: list[float] = []
         for _ in range(options.engines):
-            self._come_back()
+            self._start_engine()
 
     def run(self) -> ModelResult:
-        """Play it to its end."""
+        """Run the simulation to its end."""
         options = self._options
-        self._at(0.0, self._innocent)
-        self._at(0.0, self._settle)
+        self._schedule_at(0.0, self._send_unrelated)
+        self._schedule_at(0.0, self._settle)
         for number in range(options.guilty):
-            self._at(500.0 + 137.0 * number, partial(self._guilty, f"guilty{number}"))
+            self._schedule_at(
+                500.0 + 137.0 * number, partial(self._send_culprit, f"guilty{number}")
+            )
         for at_ms in options.failures_ms:
-            self._at(at_ms, self._fail_half)
+            self._schedule_at(at_ms, self._fail_half)
         while self._events and self._now_ms < options.seconds * 1000:
-            self._now_ms, _, act = heapq.heappop(self._events)
-            act()
+            self._now_ms, _, callback = heapq.heappop(self._events)
+            callback()
         return ModelResult(
             ends=self._counts["ends"],
-            late=[_late(arrivals) for arrivals in self._arrivals.values()],
+            late=[_late_arrivals(arrivals) for arrivals in self._arrivals.values()],
             cut=self._counts["cut"],
             quarantined=self._counts["quarantined"],
             served=self._counts["served"] / max(1, self._counts["over"]),
         )
 
     def replace_router(self, number: int, *, rows: bool = True) -> None:
-        """Have a router start anew, with the rows of the store or without."""
+        """Replace a router by a fresh one, with the store's rows or without."""
         before = self.routers[number]
         fresh = self.routers[number] = self._quarantine(self._names[number])
         self._started_ms[number] = self._now_ms
@@ -171,17 +174,17 @@
             for request in before.unstored():
                 fresh.take_in(request, self._now_ms, stored=True)
 
-    def at(self, at_ms: float, act: Callable[[], None]) -> None:
-        """Have something happen at a time."""
-        self._at(at_ms, act)
+    def at(self, at_ms: float, callback: Callable[[], None]) -> None:
+        """Schedule an event at a simulated time."""
+        self._schedule_at(at_ms, callback)
 
     # time
 
-    def _at(self, at_ms: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (at_ms, next(self._order), act))
+    def _schedule_at(self, at_ms: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at_ms, next(self._event_numbers), callback))
 
-    def _in(self, wait_ms: float, act: Callable[[], None]) -> None:
-        self._at(self._now_ms + wait_ms, act)
+    def _schedule_in(self, wait_ms: float, callback: Callable[[], None]) -> None:
+        self._schedule_at(self._now_ms + wait_ms, callback)
 
     # routers
 
@@ -190,13 +193,13 @@
 
     def _settle(self) -> None:
         for number, router in enumerate(self.routers):
-            verdicts = router.settle(self._now_ms)
-            if verdicts:
-                self._tell(number, Evidence([], [], verdicts))
-        self._in(SETTLE_STEP_MS, self._settle)
+            decisions = router.settle(self._now_ms)
+            if decisions:
+                self._publish(number, Evidence([], [], decisions))
+        self._schedule_in(SETTLE_STEP_MS, self._settle)
 
-    def _tell(self, teller: int, evidence: Evidence) -> None:
-        def hear(number: int) -> None:
+    def _publish(self, publisher: int, evidence: Evidence) -> None:
+        def receive(number: int) -> None:
             router = self.routers[number]
             for end in evidence.ends:
                 router.ended(end, self._now_ms)
@@ -205,131 +208,141 @@
                 router.take_in(request, self._now_ms)
 
         for number in range(len(self.routers)):
-            if number != teller:
-                self._in(self._options.told_ms, partial(hear, number))
+            if number != publisher:
+                self._schedule_in(self._options.told_ms, partial(receive, number))
 
     # requests
 
-    def _innocent(self) -> None:
-        draw = self._random
-        hot = draw.random() < self._options.hot_part
-        fingerprint = "hot" if hot else f"f{next(self._numbers)}"
-        self._ask(_Request(fingerprint, guilty=False, repeats=1))
-        self._in(draw.expovariate(self._options.per_s / 1000), self._innocent)
+    def _send_unrelated(self) -> None:
+        rng = self._random
+        hot = rng.random() < self._options.hot_part
+        fingerprint = "hot" if hot else f"f{next(self._request_numbers)}"
+        self._submit(_Request(fingerprint, guilty=False, repeats=1))
+        self._schedule_in(rng.expovariate(self._options.per_s / 1000), self._send_unrelated)
 
-    def _guilty(self, fingerprint: str) -> None:
-        self._ask(_Request(fingerprint, guilty=True, repeats=0))
+    def _send_culprit(self, fingerprint: str) -> None:
+        self._submit(_Request(fingerprint, guilty=True, repeats=0))
 
-    def _ask(self, request: _Request) -> None:
+    def _submit(self, request: _Request) -> None:
         self._send(request, self._random.randrange(len(self.routers)))
 
     def _send(self, request: _Request, router: int) -> None:
-        quarantine, apart = self.routers[router], False
+        quarantine, isolated = self.routers[router], False
         if self._watching and quarantine.watching:
             standing = quarantine.look(request.fingerprint, "shop", self._now_ms)
             if standing.treatment is Treatment.QUARANTINED:
-                self._over(request, "quarantined")
+                self._finish(request, "quarantined")
                 return
             if standing.treatment is Treatment.WAIT:
-                self._in(standing.wait_ms, partial(self._send, request, router))
+                self._schedule_in(standing.wait_ms, partial(self._send, request, router))
                 return
-            apart = standing.treatment is not Treatment.FREE
+            isolated = standing.treatment is not Treatment.FREE
         if not self._engines:
-            self._over(request, "failed")
+            self._finish(request, "failed")
             return
         keys = list(self._engines)
-        if apart:
+        if isolated:
             key = quarantine.place(request.fingerprint, keys)
             quarantine.begun(request.fingerprint, key)
         else:
             key = min(keys, key=lambda k: len(self._engines[k]) + 4 * self._random.random())
-        self._run(request, router, key, apart)
+        self._run(request, router, key, isolated)
 
-    def _run(self, request: _Request, router: int, key: EndpointLife, apart: bool) -> None:
+    def _run(self, request: _Request, router: int, key: EndpointLife, isolated: bool) -> None:
         request.sends += 1
         queue_ms = self._random.uniform(10.0, 400.0)
         send = _Send(request, router, self._now_ms + queue_ms)
-        send.apart = apart
+        send.isolated = isolated
         self._engines[key][id(send)] = send
         if request.guilty:
-            in_touch = self._now_ms - self._started_ms[router] >= CONTACT_MS
-            arrival = _Arrival(self._now_ms, in_touch)
+            in_contact = self._now_ms - self._started_ms[router] >= CONTACT_MS
+            arrival = _Arrival(self._now_ms, in_contact)
             self._arrivals.setdefault(request.fingerprint, []).append(arrival)
-            self._in(queue_ms + self._random.uniform(50, 110), partial(self._end, key, send))
+            self._schedule_in(
+                queue_ms + self._random.uniform(50, 110), partial(self._crash, key, send)
+            )
             return
-        self._in(queue_ms + self._random.uniform(500, 4_000), partial(self._answer, key, send))
+        self._schedule_in(
+            queue_ms + self._random.uniform(500, 4_000), partial(self._answer, key, send)
+        )
 
     def _answer(self, key: EndpointLife, send: _Send) -> None:
         if self._engines.get(key, {}).pop(id(send), None) is None:
             return
         router = self.routers[send.router]
-        self._leave(key, send)
+        self._release(key, send)
         if router.watching and router.answered(send.request.fingerprint):
-            self._tell(send.router, Evidence([], [send.request.fingerprint], []))
-        self._over(send.request, "served")
+            self._publish(send.router, Evidence([], [send.request.fingerprint], []))
+        self._finish(send.request, "served")
 
-    def _leave(self, key: EndpointLife, send: _Send) -> None:
-        if send.apart:
+    def _release(self, key: EndpointLife, send: _Send) -> None:
+        if send.isolated:
             self.routers[send.router].finished(send.request.fingerprint, key)
 
-    def _over(self, request: _Request, outcome: str) -> None:
+    def _finish(self, request: _Request, outcome: str) -> None:
         if request.guilty:
-            again = partial(self._guilty, request.fingerprint)
-            self._in(self._options.guilty_gap_ms, again)
+            again = partial(self._send_culprit, request.fingerprint)
+            self._schedule_in(self._options.guilty_gap_ms, again)
             return
         self._counts[outcome] += 1
         self._counts["over"] += 1
         if outcome == "failed" and request.repeats:
             self._counts["over"] -= 1
             repeat = _Request(request.fingerprint, guilty=False, repeats=request.repeats - 1)
-            self._in(self._random.uniform(50, 500), partial(self._ask, repeat))
+            self._schedule_in(self._random.uniform(50, 500), partial(self._submit, repeat))
 
     # engines
 
-    def _come_back(self) -> None:
-        number = next(self._lives)
+    def _start_engine(self) -> None:
+        number = next(self._incarnations)
         self._engines[EndpointLife(f"e{number}", number)] = {}
 
-    def _end(self, key: EndpointLife, cause: _Send) -> None:
+    def _crash(self, key: EndpointLife, cause: _Send) -> None:
         if id(cause) in self._engines.get(key, {}):
             self._counts["ends"] += 1
-            self._break(key, together=False)
+            self._terminate(key, together=False)
 
     def _fail_half(self) -> None:
         keys = list(self._engines)
         for key in self._random.sample(keys, (len(keys) + 1) // 2):
-            self._break(key, together=True)
+            self._terminate(key, together=True)
 
-    def _break(self, key: EndpointLife, *, together: bool) -> None:
+    def _terminate(self, key: EndpointLife, *, together: bool) -> None:
         self.ended_ms.append(self._now_ms)
         sends = list(self._engines.pop(key).values())
-        self._in(self._options.back_ms, self._come_back)
+        self._schedule_in(self._options.back_ms, self._start_engine)
         by_router: dict[int, list[_Send]] = {}
         for send in sends:
             by_router.setdefault(send.router, []).append(send)
         for router, own in by_router.items():
             seen_ms = self._random.uniform(0.0, self._options.seen_ms)
-            self._in(seen_ms, partial(self._see, router, key, own, together))
+            self._schedule_in(
+                seen_ms, partial(self._detect_termination, router, key, own, together)
+            )
 
-    def _see(self, router: int, key: EndpointLife, sends: list[_Send], together: bool) -> None:
+    def _detect_termination(
+        self, router: int, key: EndpointLife, sends: list[_Send], together: bool
+    ) -> None:
         aboard = [
-            Aboard(send.request.fingerprint, "shop", self._now_ms - send.begins_ms < EARLY_MS)
+            Aboard(
+                send.request.fingerprint, "shop", self._now_ms - send.begins_ms < RECENT_START_MS
+            )
             for send in sends
         ]
         end = End(key.name, key.life, together, aboard)
         self.routers[router].ended(end, self._now_ms)
-        self._tell(router, Evidence([end], [], []))
+        self._publish(router, Evidence([end], [], []))
         for send in sends:
-            self._leave(key, send)
+            self._release(key, send)
             self._counts["cut"] += not send.request.guilty
-            if send.request.sends < MOST_SENDS:
-                self._in(RESEND_MS, partial(self._send, send.request, router))
+            if send.request.sends < MAX_SENDS:
+                self._schedule_in(RESEND_MS, partial(self._send, send.request, router))
             else:
-                self._over(send.request, "failed")
+                self._finish(send.request, "failed")
 
 
-def _late(arrivals: list[_Arrival]) -> int:
+def _late_arrivals(arrivals: list[_Arrival]) -> int:
     if len(arrivals) <= 3:
         return 0
     from_ms = arrivals[2].at_ms + CONTACT_MS
-    return sum(arrival.in_touch and arrival.at_ms > from_ms for arrival in arrivals[3:])
+    return sum(arrival.in_contact and arrival.at_ms > from_ms for arrival in arrivals[3:])
--- a/packages/bench/src/tamarack_bench/quarantine_scenarios.py
+++ b/packages/bench/src/tamarack_bench/quarantine_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios on requests that end endpoints: what they cost, and what holding them back costs."""
+"""Scenarios of requests that crash endpoints: their cost, and the cost of the quarantine."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from tamarack_core.quarantine import SETTLE_MS, Quarantine
 
 SEEDS = 5
-LOOKS = 4_000
+CHECKS = 4_000
 BODY = b"x" * 7_000
-"""As long as what the users' callers send on the mean: 6,905 bytes of 1,897 requests of one day."""
+"""Body of about the mean length of the users' requests: 6,905 bytes, over 1,897 requests."""
 
 SUSPECTS = (0, 10, 10_000)
 
 
 @scenario("quarantine-model", "endpoints ended, and innocent requests quarantined, in a model")
 def quarantine_model(options: Options) -> Reading:
-    """Play two guilty requests with and without the quarantine, five of them, and mass failures."""
-    nothing = _play(options, ModelOptions(), watching=False)
-    two = _play(options, ModelOptions())
-    five = _play(options, ModelOptions(guilty=5))
+    """Simulate two culprits with and without the quarantine, five culprits, and mass failures."""
+    unprotected = _simulate(options, ModelOptions(), watching=False)
+    two = _simulate(options, ModelOptions())
+    five = _simulate(options, ModelOptions(guilty=5))
     mass = ModelOptions(guilty=0, failures_ms=(5e3, 8e3, 11e3, 14e3, 17e3), seconds=25.0)
-    failures = _play(options, mass)
+    failures = _simulate(options, mass)
     figures = {
-        "ends_without": _mean([result.ends for result in nothing]),
+        "ends_without": _mean([result.ends for result in unprotected]),
         "ends_two_guilty": _mean([result.ends for result in two]),
         "ends_five_guilty": _mean([result.ends for result in five]),
-        "cut_without": _mean([result.cut for result in nothing]),
+        "cut_without": _mean([result.cut for result in unprotected]),
         "cut_two_guilty": _mean([result.cut for result in two]),
         "late_most": float(max(max(result.late) for result in two + five)),
         "quarantined_innocents_two_guilty": _mean([result.quarantined for result in two]),
@@ -42,38 +42,38 @@
 
 @scenario("quarantine-cost", "microseconds that a request costs, by suspects")
 def quarantine_cost(options: Options) -> Reading:
-    """Measure with none, few and as many suspects as are kept; the best of three runs each."""
-    costs = {count: min(_look_us(count) for _ in range(3)) for count in SUSPECTS}
+    """Measure with no, few and as many suspects as the table holds; the best of three runs each."""
+    costs = {count: min(_check_us(count) for _ in range(3)) for count in SUSPECTS}
     figures = {f"us_{count}_suspects": cost for count, cost in costs.items()}
     figures["us_fingerprint_100_kb"] = _fingerprint_us(b"x" * 100_000)
     figures["ratio_10000_to_10"] = costs[10_000] / costs[10]
     return Reading("quarantine-cost", figures)
 
 
-def _play(options: Options, what: ModelOptions, *, watching: bool = True) -> list[ModelResult]:
+def _simulate(options: Options, model: ModelOptions, *, watching: bool = True) -> list[ModelResult]:
     seeds = range(options.seed, options.seed + SEEDS)
-    return [QuarantineModel(what._replace(seed=s), watching=watching).run() for s in seeds]
+    return [QuarantineModel(model._replace(seed=s), watching=watching).run() for s in seeds]
 
 
 def _mean(values: list[int]) -> float:
     return sum(values) / len(values)
 
 
-def _look_us(suspects: int) -> float:
+def _check_us(suspects: int) -> float:
     quarantine = Quarantine(lambda name: False)
     for number in range(suspects):
-        # Workspaces of their own, so that as many as possible stay in the table.
+        # Spread over workspaces, as the table bounds the suspects of each.
         aboard = [Aboard(f"f{number}", f"w{number % 100}", True)]
         quarantine.ended(End(f"e{number}", number, False, aboard), number * SETTLE_MS)
         quarantine.settle((number + 1) * SETTLE_MS)
     now_ms = suspects * SETTLE_MS
     started = time.perf_counter()
-    for number in range(LOOKS):
+    for number in range(CHECKS):
         if quarantine.watching:
             name = fingerprint("shop", "shop.example", b"POST", b"/draft/%d" % number, BODY)
             quarantine.look(name, "shop", now_ms)
             quarantine.answered(name)
-    return (time.perf_counter() - started) / LOOKS * 1e6
+    return (time.perf_counter() - started) / CHECKS * 1e6
 
 
 def _fingerprint_us(body: bytes) -> float:
--- a/packages/bench/src/tamarack_bench/report.py
+++ b/packages/bench/src/tamarack_bench/report.py
@@ -1,4 +1,4 @@
-"""A page with tables and plots of readings."""
+"""An HTML page with tables and plots of readings."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def write_report(readings: list[Reading], path: Path) -> None:
-    """Write an HTML page; plots are inside it as PNG."""
+    """Write the page, with plots embedded as PNG."""
     parts = ["<!doctype html><meta charset=utf-8><title>tamarackturn readings</title>"]
     parts.append("<style>body{font-family:sans-serif}td{padding:0 1em}</style>")
     for reading in readings:
@@ -26,7 +26,7 @@
 
 
 def _plot(reading: Reading) -> str:
-    # Imported here: the demo and the tests do without the plotting library.
+    # Imported here, as the demo and the tests run without the plotting library.
     import matplotlib
 
     matplotlib.use("Agg")
--- a/packages/bench/src/tamarack_bench/scenarios.py
+++ b/packages/bench/src/tamarack_bench/scenarios.py
@@ -1,4 +1,4 @@
-"""The registry of scenarios, and what each gives."""
+"""The registry of scenarios, and their options and readings."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Reading(NamedTuple):
-    """Figures of one scenario, and series to plot.
+    """Figures of one scenario, and series for plots.
 
     Attributes
     ----------
@@ -23,7 +23,7 @@
 
 
 class Options(NamedTuple):
-    """What the command line sets for every scenario."""
+    """Options of every scenario, set on the command line."""
 
     deployment: str = "domandina"
     seed: int = 1
@@ -48,7 +48,7 @@
 
 
 def scenario(name: str, help: str, *, standard: bool = True) -> Callable[[Run], Run]:
-    """Enter a function into the registry of scenarios."""
+    """Register a function as a scenario."""
 
     def register(run: Run) -> Run:
         SCENARIOS[name] = Scenario(name, help, run, standard)
@@ -58,7 +58,7 @@
 
 
 def percentile(values: list[float], part: float) -> float:
-    """Value below which `part` of the values lie; zero without values."""
+    """Value below which the fraction `part` of the values lies; zero without values."""
     if not values:
         return 0.0
     ordered = sorted(values)
--- a/packages/bench/src/tamarack_bench/slopes.py
+++ b/packages/bench/src/tamarack_bench/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes: what each role costs by size, with fitted lines and their residuals."""
+"""Slopes: the cost of each role by size, as fitted lines with residuals."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Slope(NamedTuple):
-    """A fitted line: value = base + per_unit x size, and the largest distance from it."""
+    """A fitted line: value = base + per_unit x size; `residual` is a point's largest distance."""
 
     name: str
     unit: str
@@ -69,7 +69,7 @@
 
 
 def _relay_slopes() -> list[Slope]:
-    """Relay: processor time by tokens a second, memory by streams."""
+    """Relay: processor time by tokens per second, memory by streams."""
     cpu: list[tuple[float, float]] = []
     memory: list[tuple[float, float]] = []
     with Fleet(RELAY_DEPLOYMENT, 1, settings={"TAMARACK_SHARE_ALPHA": "100"}) as fleet:
@@ -90,7 +90,7 @@
 
 
 def _dispatcher_slopes() -> list[Slope]:
-    """Dispatcher core: time a decision by workspaces and by endpoints, memory by tickets."""
+    """Dispatcher core: time per decision by workspaces and by endpoints, memory by tickets."""
     by_workspaces = [
         (float(n), measure_decisions(n, 64, rounds=8_000).microseconds)
         for n in (16, 170, 680, 2_000, 6_800)
@@ -110,10 +110,10 @@
     points = []
     for size in (2_000, 5_000, 10_000, 20_000):
         tracemalloc.start()
-        kept = build(size)
+        built = build(size)
         points.append((float(size), float(tracemalloc.get_traced_memory()[0])))
         tracemalloc.stop()
-        del kept
+        del built
     return points
 
 
@@ -138,7 +138,7 @@
 
 
 def _keeper_slopes() -> list[Slope]:
-    """Keeper: time and memory by keys held."""
+    """Keeper (key owner): time and memory by the number of keys."""
     times = []
     for size in (2_000, 5_000, 10_000, 20_000):
         started = time.perf_counter()
@@ -151,7 +151,7 @@
 
 
 def big_configuration(workspaces: int, endpoints: int) -> Configuration:
-    """A configuration of some size, in nine services."""
+    """A configuration of nine services with the given numbers of entries."""
     puts = [EntryPut("preset", "p", {})]
     for number in range(9):
         body = {"kind": "model", "model": f"model-{number}"}
@@ -170,7 +170,7 @@
 
 
 def _config_slopes() -> list[Slope]:
-    """Configuration follower: time a change by entries, for two kinds of change."""
+    """Configuration follower: time per change by entries, for two kinds of change."""
     workspace_points = []
     endpoint_points = []
     for workspaces, endpoints in ((100, 150), (1_000, 1_500), (3_400, 6_000), (6_800, 12_000)):
@@ -200,7 +200,7 @@
 
 
 def _member_slopes() -> list[Slope]:
-    """Member: bytes and processor time of one router by fleet size, on the core."""
+    """Membership: bytes and processor time of one router by fleet size, on the core alone."""
     sizes = (8, 16, 32, 64)
     return [
         fit("member_bytes_per_s_by_routers", "B/s", [(n, measure_membership(n)) for n in sizes]),
@@ -217,12 +217,12 @@
             time.sleep(IDLE_S)
             members = list(fleet.routers.values())
             cpu_before = sum(cpu_seconds(r.pid) for r in members)
-            before = sum(_sent(fleet, r.metrics) for r in members)
+            before = sum(_bytes_sent(fleet, r.metrics) for r in members)
             started = time.monotonic()
             time.sleep(IDLE_S)
             elapsed = time.monotonic() - started
             used = sum(cpu_seconds(r.pid) for r in members) - cpu_before
-            bytes_out = sum(_sent(fleet, r.metrics) for r in members) - before
+            bytes_out = sum(_bytes_sent(fleet, r.metrics) for r in members) - before
             cpu.append((float(routers), used / elapsed / routers * 100))
             sent.append((float(routers), bytes_out / elapsed / routers))
             memory.append((float(routers), statistics.mean(resident_mb(r.pid) for r in members)))
@@ -233,18 +233,20 @@
     ]
 
 
-def _sent(fleet: Fleet, metrics: str) -> float:
+def _bytes_sent(fleet: Fleet, metrics: str) -> float:
     counts = fleet.get_json(metrics, "/state")["counts"]["control"]
     return float(counts.get("peer_bytes_out", 0))
 
 
-async def _paced(addresses: list[str], key: str, token: str, rate: float, seconds: float) -> int:
-    """Keyed requests at a fixed rate per router; gives how many were answered."""
+async def _send_at_rate(
+    addresses: list[str], key: str, token: str, rate: float, seconds: float
+) -> int:
+    """Send requests with idempotency keys at a rate per router; return how many were answered."""
     connector = aiohttp.TCPConnector(limit=0)
     answered = 0
     async with aiohttp.ClientSession(connector=connector) as session:
 
-        async def one(address: str, number: int) -> None:
+        async def send_request(address: str, number: int) -> None:
             nonlocal answered
             headers = {
                 "Authorization": f"Bearer {key}",
@@ -262,13 +264,15 @@
         for number in range(int(rate * len(addresses) * seconds)):
             due = started + number / (rate * len(addresses))
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            tasks.append(asyncio.ensure_future(one(addresses[number % len(addresses)], number)))
+            tasks.append(
+                asyncio.ensure_future(send_request(addresses[number % len(addresses)], number))
+            )
         await asyncio.gather(*tasks)
     return answered
 
 
 def _request_slopes() -> list[Slope]:
-    """Requests: processor time of control and of the whole router, and bytes, by rate."""
+    """Requests: processor time of control and of the whole router, and bytes, by request rate."""
     control, whole, sent = [], [], []
     quick = RELAY_DEPLOYMENT._replace(
         services=[s._replace(step_ms=3.0) for s in RELAY_DEPLOYMENT.services]
@@ -281,7 +285,7 @@
         routers = list(fleet.routers.values())
         for rate in (5.0, 10.0, 20.0, 40.0, 80.0):
             before = [fleet.get_json(r.metrics, "/state") for r in routers]
-            asyncio.run(_paced(fleet.addresses, key, token, rate, RATE_S))
+            asyncio.run(_send_at_rate(fleet.addresses, key, token, rate, RATE_S))
             after = [fleet.get_json(r.metrics, "/state") for r in routers]
             changes = list(zip(after, before, strict=True))
             per_router = RATE_S * len(routers)
@@ -308,7 +312,7 @@
 
 
 def measure_slopes() -> list[Slope]:
-    """Measure every role."""
+    """Measure the slopes of every role."""
     return [
         *_dispatcher_slopes(),
         *_keeper_slopes(),
@@ -322,7 +326,7 @@
 
 @scenario("slopes", "what each role costs by size, for docs/CAPACITY.md", standard=False)
 def slopes(options: Options) -> Reading:
-    """Measure the slopes; figures hold base, slope and residual of each."""
+    """Measure the slopes; the figures are base, slope and residual of each."""
     figures: dict[str, float] = {}
     series = {}
     for slope in measure_slopes():
--- a/packages/bench/src/tamarack_bench/soak.py
+++ b/packages/bench/src/tamarack_bench/soak.py
@@ -1,4 +1,4 @@
-"""A soak: a mixed load through random faults from a seed, judged by the endpoints' logs."""
+"""A soak: a mixed load under seeded random faults, checked against the endpoints' logs."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def fault(name: str) -> Callable[[Fault], Fault]:
-    """Enter a function into the registry of faults."""
+    """Register a function as a fault."""
 
     def register(run: Fault) -> Fault:
         FAULTS[name] = run
@@ -31,19 +31,19 @@
     return register
 
 
-def _router(loaded: LoadedFleet, chance: random.Random) -> str:
-    return chance.choice(sorted(loaded.fleet.routers))
+def _router(loaded: LoadedFleet, rng: random.Random) -> str:
+    return rng.choice(sorted(loaded.fleet.routers))
 
 
-def _endpoint(loaded: LoadedFleet, chance: random.Random, kind: str) -> dict[str, str]:
+def _endpoint(loaded: LoadedFleet, rng: random.Random, kind: str) -> dict[str, str]:
     choices = [e for e in loaded.fleet.endpoints if e["kind"] == kind]
-    return chance.choice(choices)
+    return rng.choice(choices)
 
 
 @fault("router killed")
-def kill_router(loaded: LoadedFleet, chance: random.Random) -> None:
+def kill_router(loaded: LoadedFleet, rng: random.Random) -> None:
     """Kill a router and start it again cold."""
-    name = _router(loaded, chance)
+    name = _router(loaded, rng)
     loaded.fleet.processes.signal(name, signal.SIGKILL)
     loaded.fleet.processes.wait(name)
     loaded.fleet.start_router(name, loaded.fleet.routers[name].failure_domain)
@@ -51,84 +51,84 @@
 
 
 @fault("router replaced")
-def replace_router(loaded: LoadedFleet, chance: random.Random) -> None:
+def replace_router(loaded: LoadedFleet, rng: random.Random) -> None:
     """Stop a router gracefully and start it again."""
-    name = _router(loaded, chance)
+    name = _router(loaded, rng)
     loaded.fleet.processes.signal(name, signal.SIGTERM)
     if loaded.fleet.processes.wait(name, 60.0) != 0:
-        raise AssertionError(f"{name} did not stop clean")
+        raise AssertionError(f"{name} did not exit cleanly")
     loaded.fleet.start_router(name, loaded.fleet.routers[name].failure_domain)
     loaded.fleet.wait_ready([name])
 
 
 @fault("router paused")
-def pause_router(loaded: LoadedFleet, chance: random.Random) -> None:
-    """Stop a router's process for a time that may exceed every timeout."""
-    name = _router(loaded, chance)
+def pause_router(loaded: LoadedFleet, rng: random.Random) -> None:
+    """Suspend a router's process for a time that may exceed every timeout."""
+    name = _router(loaded, rng)
     loaded.fleet.processes.signal(name, signal.SIGSTOP)
-    time.sleep(chance.uniform(0.3, 4.0))
+    time.sleep(rng.uniform(0.3, 4.0))
     loaded.fleet.processes.signal(name, signal.SIGCONT)
 
 
 @fault("routers cut")
-def cut_routers(loaded: LoadedFleet, chance: random.Random) -> None:
-    """Cut one router off from all others, and sometimes from the store too."""
-    name = _router(loaded, chance)
+def cut_routers(loaded: LoadedFleet, rng: random.Random) -> None:
+    """Block traffic between one router and all others, and sometimes the store too."""
+    name = _router(loaded, rng)
     for other in loaded.fleet.routers:
         if other != name:
             loaded.fleet.cut_routers(name, other)
-    if chance.random() < 0.5:
+    if rng.random() < 0.5:
         loaded.fleet.cut_store(name)
-    time.sleep(chance.uniform(0.5, 5.0))
+    time.sleep(rng.uniform(0.5, 5.0))
     loaded.fleet.heal()
 
 
 @fault("peers silent")
-def silence_peers(loaded: LoadedFleet, chance: random.Random) -> None:
-    """Let every open connection between routers go silent for good."""
+def silence_peers(loaded: LoadedFleet, rng: random.Random) -> None:
+    """Block every open connection between routers permanently."""
     loaded.fleet.silence_peers()
 
 
 @fault("engine silent")
-def silence_engine(loaded: LoadedFleet, chance: random.Random) -> None:
-    """Let some of an engine's connections go silent after some bytes."""
-    address = _endpoint(loaded, chance, "model")["address"]
-    silent = {"kind": "silent_after", "value": chance.randint(0, 3_000), "times": 4}
+def silence_engine(loaded: LoadedFleet, rng: random.Random) -> None:
+    """Stall some of an engine's streams after a number of bytes."""
+    address = _endpoint(loaded, rng, "model")["address"]
+    silent = {"kind": "silent_after", "value": rng.randint(0, 3_000), "times": 4}
     loaded.fleet.set_faults(address, [{**silent, "path": "/v1/completions"}])
 
 
 @fault("engine killed")
-def kill_engine(loaded: LoadedFleet, chance: random.Random) -> None:
-    """Kill an engine and start it again, with nothing kept."""
-    name = _endpoint(loaded, chance, "model")["endpoint"]
+def kill_engine(loaded: LoadedFleet, rng: random.Random) -> None:
+    """Kill an engine and start it again, without its former state."""
+    name = _endpoint(loaded, rng, "model")["endpoint"]
     loaded.fleet.processes.signal(name, signal.SIGKILL)
     loaded.fleet.processes.wait(name)
-    time.sleep(chance.uniform(0.1, 1.0))
+    time.sleep(rng.uniform(0.1, 1.0))
     loaded.fleet.restart_endpoint(name)
 
 
 @fault("engine paused")
-def pause_engine(loaded: LoadedFleet, chance: random.Random) -> None:
-    """Stop an engine's process for a while."""
-    name = _endpoint(loaded, chance, "model")["endpoint"]
+def pause_engine(loaded: LoadedFleet, rng: random.Random) -> None:
+    """Suspend an engine's process for a while."""
+    name = _endpoint(loaded, rng, "model")["endpoint"]
     loaded.fleet.processes.signal(name, signal.SIGSTOP)
-    time.sleep(chance.uniform(0.3, 3.0))
+    time.sleep(rng.uniform(0.3, 3.0))
     loaded.fleet.processes.signal(name, signal.SIGCONT)
 
 
 @fault("answers lost")
-def lose_answers(loaded: LoadedFleet, chance: random.Random) -> None:
-    """Lose the answers of plain calls after they ran."""
-    address = _endpoint(loaded, chance, "plain")["address"]
+def lose_answers(loaded: LoadedFleet, rng: random.Random) -> None:
+    """Drop the answers of plain calls after their runs."""
+    address = _endpoint(loaded, rng, "plain")["address"]
     lost = {"kind": "answer_lost", "times": 3, "path": "/tank-orders"}
     loaded.fleet.set_faults(address, [lost])
 
 
 @fault("service crash")
-def crash_service(loaded: LoadedFleet, chance: random.Random) -> None:
-    """Let a plain service die before or after it has run a call."""
-    endpoint = _endpoint(loaded, chance, "plain")
-    crash = {"kind": "crash", "value": chance.randint(0, 1), "times": 1, "path": "/tank-orders"}
+def crash_service(loaded: LoadedFleet, rng: random.Random) -> None:
+    """Crash a plain service before or after it has run a call."""
+    endpoint = _endpoint(loaded, rng, "plain")
+    crash = {"kind": "crash", "value": rng.randint(0, 1), "times": 1, "path": "/tank-orders"}
     loaded.fleet.set_faults(endpoint["address"], [crash])
     deadline = time.monotonic() + 3.0
     while loaded.fleet.processes.running(endpoint["endpoint"]) and time.monotonic() < deadline:
@@ -138,25 +138,25 @@
 
 
 @fault("store down")
-def store_down(loaded: LoadedFleet, chance: random.Random) -> None:
-    """Take the platform's store away for a while."""
+def store_down(loaded: LoadedFleet, rng: random.Random) -> None:
+    """Make the platform's store unreachable for a while."""
     address = loaded.fleet.platform["address"]
     loaded.fleet.set_faults(address, [{"kind": "down", "path": "/tables"}])
-    time.sleep(chance.uniform(0.5, 5.0))
+    time.sleep(rng.uniform(0.5, 5.0))
     loaded.fleet.set_faults(address, [])
 
 
 @fault("store slow")
-def store_slow(loaded: LoadedFleet, chance: random.Random) -> None:
-    """Slow the platform's store."""
+def store_slow(loaded: LoadedFleet, rng: random.Random) -> None:
+    """Slow down the platform's store."""
     address = loaded.fleet.platform["address"]
     loaded.fleet.set_faults(address, [{"kind": "slow", "value": 800, "times": 30}])
 
 
 @fault("endpoint drained")
-def drain_endpoint(loaded: LoadedFleet, chance: random.Random) -> None:
-    """Drain an endpoint and let it work again."""
-    name = _endpoint(loaded, chance, "model")["endpoint"]
+def drain_endpoint(loaded: LoadedFleet, rng: random.Random) -> None:
+    """Drain an endpoint and end the drain again."""
+    name = _endpoint(loaded, rng, "model")["endpoint"]
     admin = loaded.fleet.admin()
     admin.call("PUT", f"drain/{name}")
     time.sleep(0.5)
@@ -164,7 +164,7 @@
 
 
 def soak_plans(deployment: Deployment) -> list[CallerPlan]:
-    """Every workspace asks; a few ask much."""
+    """Load from every workspace, most of it from the large ones."""
     return [
         CallerPlan(name, 8 if name in deployment.large else 2, 0.02, 0.4, 0.3, (5, 150))
         for name in deployment.workspaces
@@ -172,23 +172,23 @@
 
 
 def run_soak(options: Options, seconds: float, most_faults: int = 1_000_000) -> Reading:
-    """Disturb a loaded fleet for some seconds or a number of faults, then judge it."""
+    """Inject faults into a loaded fleet, by time or number, then check its promises."""
     print(f"soak seed {options.seed}", flush=True)
-    chance = random.Random(options.seed)
-    happened: Counter[str] = Counter()
+    rng = random.Random(options.seed)
+    injected: Counter[str] = Counter()
     failed: list[str] = []
     plans = soak_plans(DEPLOYMENTS[options.deployment])
     settings = {"TAMARACK_STREAM_SILENCE_MS": "600"}
     with loaded_fleet(options, plans, settings=settings, deadline_s=20.0, forward=True) as loaded:
         end = time.monotonic() + seconds
-        while time.monotonic() < end and happened.total() < most_faults:
-            name = chance.choice(sorted(FAULTS))
-            happened[name] += 1
+        while time.monotonic() < end and injected.total() < most_faults:
+            name = rng.choice(sorted(FAULTS))
+            injected[name] += 1
             try:
-                FAULTS[name](loaded, chance)
+                FAULTS[name](loaded, rng)
             except Exception as error:
                 failed.append(f"{name}: {error!r}")
-            threading.Event().wait(chance.uniform(*PAUSE_BETWEEN_S))
+            threading.Event().wait(rng.uniform(*PAUSE_BETWEEN_S))
         for endpoint in loaded.fleet.endpoints:
             loaded.fleet.set_faults(endpoint["address"], [])
         time.sleep(SETTLE_S)
@@ -201,7 +201,7 @@
     total = len(account.results)
     figures = {
         "requests": float(total),
-        "faults": float(sum(happened.values())),
+        "faults": float(sum(injected.values())),
         "faults_not_carried_out": float(len(failed)),
         "answered": float(verdict.answered),
         "refused": float(verdict.refused),
@@ -215,13 +215,13 @@
     figures.update({f"unknown_{code}": float(n) for code, n in causes.items()})
     refusals = Counter(r.code for r in account.results if r.outcome == "not-run")
     figures.update({f"refused_{code}": float(n) for code, n in refusals.items()})
-    figures.update({f"fault_{name.replace(' ', '_')}": float(n) for name, n in happened.items()})
+    figures.update({f"fault_{name.replace(' ', '_')}": float(n) for name, n in injected.items()})
     return Reading("soak", figures)
 
 
 @scenario("soak", "random faults from a seed under load", standard=False)
 def soak(options: Options) -> Reading:
-    """Soak for the minutes that the options say."""
+    """Soak for the minutes set in the options."""
     return run_soak(options, options.minutes * 60)
 
 
--- a/packages/bench/src/tamarack_bench/stream_client.py
+++ b/packages/bench/src/tamarack_bench/stream_client.py
@@ -1,4 +1,4 @@
-"""Many streams at once on one event loop, timed."""
+"""Many concurrent, timed streams on one event loop."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     first_ms
         From sending the request until the first byte.
     gaps_ms
-        Between one part and the next.
+        Times between one chunk and the next.
     """
 
     first_ms: float
@@ -28,7 +28,7 @@
 def run_streams(
     addresses: list[str], key: str, model: str, *, streams: int, tokens: int
 ) -> list[StreamTimes]:
-    """Open all streams at once, spread over the addresses, and read them to their ends."""
+    """Open all streams concurrently, spread over the addresses, and read them to the end."""
     return asyncio.run(_run(addresses, key, model, streams, tokens))
 
 
@@ -38,13 +38,13 @@
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         calls = [
-            _one(session, addresses[n % len(addresses)], key, model, n, tokens)
+            _read_stream(session, addresses[n % len(addresses)], key, model, n, tokens)
             for n in range(streams)
         ]
         return await asyncio.gather(*calls)
 
 
-async def _one(
+async def _read_stream(
     session: aiohttp.ClientSession, address: str, key: str, model: str, number: int, tokens: int
 ) -> StreamTimes:
     body = {
