--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded soak of the platform's path with real processes."""
+"""Short seeded soaks of the platform's path with real processes."""
 
 from __future__ import annotations
 
@@ -25,12 +25,13 @@
     assert soak.counts["200"] > 0
 
 
-def test_requests_that_end_workers_are_held_back_also_after_all_routers_were_killed() -> None:
-    """Symptom: after all routers were replaced, known requests end workers all over again.
+def test_requests_that_crash_workers_stay_quarantined_after_all_routers_are_killed() -> None:
+    """Failure: after all routers were replaced, quarantined requests crash workers again.
 
-    Sequence: two requests end whoever runs them and come each 0.4 s at the routers in turn; all
-    routers are killed at once in the middle. Cause: only the routers knew. Evidence: seen from
-    outside on six routers, 65 and 63 workers ended in 24 s, 18 and 15 arrivals after the kill.
+    Two requests that crash every worker are sent every 0.4 s to the routers in turn; halfway, all
+    routers are killed at once. If only the routers hold the quarantine, it is lost with them: on
+    six routers the requests crashed 65 and 63 workers in 24 s and reached workers 18 and 15 times
+    after the kill.
     """
     soak = play(7, 12.0, ends_only=True)
     assert soak.broken == []
@@ -38,12 +39,15 @@
     assert soak.counts["workers ended"] >= 6
 
 
-def test_a_signal_does_not_take_a_routers_exit_status(
+def test_sending_a_signal_preserves_a_routers_exit_status(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Failure: a router that ends in order as the soak signals it is reported to end with 255."""
+    """Failure: a router that exits cleanly while the soak signals it is reported with status 255.
 
-    async def story() -> int:
+    `Process.send_signal` polls the process and so takes its exit status from the event loop.
+    """
+
+    async def signal_router() -> int:
         routers = SoakRouters(
             1, tmp_path, 9_000, "", draws=random.Random(1), broken=lambda reason: None
         )
@@ -53,4 +57,4 @@
         await routers.hang_up()
         return await process.wait()
 
-    assert asyncio.run(story()) == -signal.SIGHUP
+    assert asyncio.run(signal_router()) == -signal.SIGHUP
