--- a/packages/bench/src/tamarack_bench/capacity.py
+++ b/packages/bench/src/tamarack_bench/capacity.py
@@ -224,7 +224,7 @@
         f"| caller listener and relay | {s.streams:.0f} streams, kept answers "
         f"| none of its own | {relay:.0f}% of a core "
         f"| {lines['relay_memory_by_streams'].per_unit * s.streams:.0f} MB and "
-        f"{ANSWER_MEMORY_MB} MB of answers | `relay`, `follower`, `kept_answer` |",
+        f"{ANSWER_MEMORY_MB} MB of answers | `relay`, `follower`, `stored_answer` |",
         f"| dispatcher of a shard | counters of {WORKSPACES * BACKLOGGED_PART:.0f} workspaces, tickets "
         f"| {s.tickets_per_shard:.0f} tickets, half as many grants a second "
         f"| {decision:.0f} us a decision: {decision * s.tickets_per_shard / 1e4:.1f}% of a core, "
--- a/packages/router/src/tamarack_router/slow_callers.py
+++ b/packages/router/src/tamarack_router/call_timeouts.py
@@ -20,7 +20,7 @@
     sock: socket.socket
 
 
-class SlowCallers:
+class CallTimeouts:
     """Bounds the time and the threads that incoming calls take.
 
     A socket timeout restarts with each byte, so a caller that sends a byte now and then would
@@ -60,7 +60,7 @@
         with self._lock:
             self._incoming[id(sock)] = _IncomingCall(time.monotonic(), "", sock)
 
-    def label(self, sock: socket.socket, workspace: str) -> None:
+    def set_workspace(self, sock: socket.socket, workspace: str) -> None:
         """Record the workspace of a call."""
         with self._lock:
             incoming = self._incoming.get(id(sock))
@@ -72,7 +72,7 @@
         with self._lock:
             self._incoming.pop(id(sock), None)
 
-    def forgive(self, seconds: float) -> None:
+    def extend_deadlines(self, seconds: float) -> None:
         """Reduce the age of every call.
 
         No call is read while the process itself gets no CPU time. Without this correction an
@@ -107,7 +107,7 @@
             stall_s = now_s - checked_s - CHECK_EVERY_S
             checked_s = now_s
             if stall_s > CHECK_EVERY_S / 2:
-                self.forgive(stall_s)
+                self.extend_deadlines(stall_s)
             for sock in self.overdue(now_s):
                 try:
                     sock.shutdown(socket.SHUT_RD)
--- a/packages/router/src/tamarack_router/caller_app.py
+++ b/packages/router/src/tamarack_router/caller_app.py
@@ -17,7 +17,7 @@
 from tamarack_router.http_reply import Reply, json_reply, refusal_reply
 from tamarack_router.mailbox import Mailbox
 from tamarack_router.messages import FollowAnswer, HoldRequest
-from tamarack_router.share_guard import ShareGuard
+from tamarack_router.share_limiter import ShareLimiter
 from tamarack_router.tracing import Tracing
 
 BEARER = "bearer "
@@ -51,7 +51,7 @@
         clock: Clock,
         views: ViewHolder,
         relay: Mailbox,
-        held: ShareGuard,
+        held: ShareLimiter,
         tracing: Tracing,
         limits: CallerLimits,
     ) -> None:
@@ -155,18 +155,18 @@
         return None
 
     def _run(self, call: HttpCall, workspace: str, view: FleetView) -> Reply | None:
-        call.slow.label(call.sock, workspace)
+        call.timeouts.set_workspace(call.sock, workspace)
         body = read_body(call, self._limits.max_body_bytes)
         if isinstance(body, Refusal):
             # Stays under the time limit: the rest of the body is read after the answer.
             return self._refuse(body, close=True)
-        call.slow.release(call.sock)
+        call.timeouts.release(call.sock)
         now_ms = self._clock.now_ms
         request = f"{self._router}~{self._boot}~{next(self._numbers)}"
         classified = classify(call, body, workspace, request, view.config, now_ms)
         if isinstance(classified, Refusal):
             return self._refuse(classified)
-        if not self._held.take(workspace):
+        if not self._held.acquire(workspace):
             return self._refuse(_over_share())
         span = self._tracing.start("request", traceparent=call.headers.get("traceparent", ""))
         span.set_attribute("tamarack.workspace", workspace)
--- a/packages/router/src/tamarack_router/caller_sockets.py
+++ b/packages/router/src/tamarack_router/caller_sockets.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from tamarack_router.follower import Follower
-from tamarack_router.kept_answer import KeptAnswer
+from tamarack_router.stored_answer import StoredAnswer
 
-NobodyFollows = Callable[[str, bool], None]
+OnUnfollowed = Callable[[str, bool], None]
 
 
 class CallerSockets:
@@ -21,7 +21,7 @@
         disconnected before it had received the whole answer.
     """
 
-    def __init__(self, selector: selectors.BaseSelector, on_unfollowed: NobodyFollows) -> None:
+    def __init__(self, selector: selectors.BaseSelector, on_unfollowed: OnUnfollowed) -> None:
         self._selector = selector
         self._on_unfollowed = on_unfollowed
         self._groups: dict[str, list[Follower]] = {}
@@ -48,7 +48,7 @@
 
         self._selector.register(follower.sock, follower.interest, ready)
 
-    def pump(self, answer: KeptAnswer) -> None:
+    def pump(self, answer: StoredAnswer) -> None:
         """Write new data of an answer to all its followers."""
         for follower in list(self._groups.get(answer.request, [])):
             self.pump_one(follower)
@@ -58,7 +58,7 @@
         follower.pump()
         self._after_write(follower)
 
-    def move(self, request: str, target: KeptAnswer) -> None:
+    def move(self, request: str, target: StoredAnswer) -> None:
         """Switch all followers of a request to another copy of its answer."""
         for follower in self._groups.pop(request, []):
             self._selector.unregister(follower.sock)
--- a/packages/router/src/tamarack_router/control.py
+++ b/packages/router/src/tamarack_router/control.py
@@ -37,16 +37,16 @@
 from tamarack_router.mailbox_task import MailboxTask
 from tamarack_router.messages import (
     CancelRequest,
-    ChangesRead,
-    DoubtRouter,
+    ChangesFetched,
     EndRequest,
-    HeadRead,
-    InstancesRead,
+    HeadPolled,
+    InstancesFetched,
     Leave,
-    LoadRead,
+    LoadPolled,
     PeerAnswer,
     PeerMessage,
     PeerQuery,
+    ProbeRouter,
     RowClaimed,
     RunFailed,
     RunFinished,
@@ -114,7 +114,7 @@
         self._next_view_ms = 0.0
         self._log = PartLog("control")
 
-    def serve(self, platform: PlatformTask, load: LoadTask) -> None:
+    def set_blocking_tasks(self, platform: PlatformTask, load: LoadTask) -> None:
         """Set the tasks that make blocking calls for this one; called before it starts."""
         self._platform = platform
         self._load = load
@@ -192,7 +192,7 @@
                 case ClaimRow() if self._platform is not None:
                     self._platform.claim(action)
                 case RowDone() if self._platform is not None:
-                    self._platform.row_done(action)
+                    self._platform.record_key_state(action)
                 case Deliver(sender, message):
                     self._deliver(sender, message)
 
@@ -271,8 +271,8 @@
     def _on_cancel(self, message: CancelRequest) -> None:
         self._perform(self._core.cancel(message.request, self._clock.now_ms))
 
-    @handles(DoubtRouter)
-    def _on_doubt(self, message: DoubtRouter) -> None:
+    @handles(ProbeRouter)
+    def _on_probe(self, message: ProbeRouter) -> None:
         self._perform(self._core.doubt(message.router, self._clock.now_ms))
 
     @handles(RunProgress)
@@ -307,12 +307,12 @@
         refusal = Refusal(ErrorCode.ENDPOINT_FAILED, "The endpoint failed.", outcome)
         self._relay.put(EndRequest(message.request, refusal))
 
-    @handles(LoadRead)
-    def _on_load(self, message: LoadRead) -> None:
+    @handles(LoadPolled)
+    def _on_load(self, message: LoadPolled) -> None:
         self._core.report(message.endpoint, message.load, self._clock.now_ms)
 
-    @handles(HeadRead)
-    def _on_head(self, message: HeadRead) -> None:
+    @handles(HeadPolled)
+    def _on_head(self, message: HeadPolled) -> None:
         now_ms = self._clock.now_ms
         if message.version is not None:
             self._store_answered_ms = now_ms
@@ -322,16 +322,16 @@
         elif now_ms - self._store_answered_ms >= STORE_DOWN_MS:
             self._store_up = False
 
-    @handles(ChangesRead)
-    def _on_changes(self, message: ChangesRead) -> None:
+    @handles(ChangesFetched)
+    def _on_changes(self, message: ChangesFetched) -> None:
         self._take_changes(message.snapshot, message.changes)
 
     @handles(RowClaimed)
     def _on_row_claimed(self, message: RowClaimed) -> None:
         self._perform(self._core.row_answer(message.claim, message.answer, self._clock.now_ms))
 
-    @handles(InstancesRead)
-    def _on_instances(self, message: InstancesRead) -> None:
+    @handles(InstancesFetched)
+    def _on_instances(self, message: InstancesFetched) -> None:
         self._core.host.set_leaving(message.leaving, self._clock.now_ms)
         self._perform(self._core.join([*self._seeds, *message.addresses]))
 
--- a/packages/router/src/tamarack_router/drain.py
+++ b/packages/router/src/tamarack_router/drain.py
@@ -16,7 +16,7 @@
 
     If a socket is closed with unread data, the operating system resets the connection and discards
     the response: the caller sees a broken pipe instead of its refusal, and sends the request to
-    other routers. `SlowCallers` bounds the time, as it watches the call until it is over.
+    other routers. `CallTimeouts` bounds the time, as it watches the call until it is over.
     """
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
--- a/packages/router/src/tamarack_router/endpoint_cancel.py
+++ b/packages/router/src/tamarack_router/endpoint_cancel.py
@@ -9,11 +9,11 @@
 
 CANCEL_TIMEOUT_MS = 1_000.0
 
-Later = Callable[[float, Callable[[], None]], None]
+Schedule = Callable[[float, Callable[[], None]], None]
 
 
 def cancel_at_endpoint(
-    address: str, run_id: str, selector: selectors.BaseSelector, later: Later
+    address: str, run_id: str, selector: selectors.BaseSelector, schedule: Schedule
 ) -> None:
     """Send the cancellation in the background and ignore the response."""
     connection = EndpointConnection(address, "DELETE", f"/v1/streams/{run_id}", [], b"")
@@ -35,4 +35,4 @@
             connection.close()
 
     selector.register(connection.sock, connection.interest, ready)
-    later(CANCEL_TIMEOUT_MS, close)
+    schedule(CANCEL_TIMEOUT_MS, close)
--- a/packages/router/src/tamarack_router/endpoint_connection.py
+++ b/packages/router/src/tamarack_router/endpoint_connection.py
@@ -35,13 +35,13 @@
     """The answer is complete."""
 
 
-class Broke(NamedTuple):
+class ConnectionFailed(NamedTuple):
     """The connection failed or closed before the answer was complete."""
 
     reason: str
 
 
-ConnectionEvent = Head | Body | End | Broke
+ConnectionEvent = Head | Body | End | ConnectionFailed
 
 
 class EndpointConnection:
@@ -91,7 +91,7 @@
         """Start to connect; return an event if that fails at once."""
         code = self._sock.connect_ex(self._target)
         if code not in (0, errno.EINPROGRESS):
-            return [Broke(errno.errorcode.get(code, str(code)))]
+            return [ConnectionFailed(errno.errorcode.get(code, str(code)))]
         return []
 
     def close(self) -> None:
@@ -137,7 +137,7 @@
     def _broke(self, reason: str) -> None:
         if not self._ended:
             self._ended = True
-            self._events.append(Broke(reason))
+            self._events.append(ConnectionFailed(reason))
 
     # Callbacks of the parser
 
--- a/packages/router/src/tamarack_router/followed_requests.py
+++ b/packages/router/src/tamarack_router/followed_requests.py
@@ -8,8 +8,8 @@
 from tamarack_core.actions import FollowRequest
 from tamarack_router.caller_sockets import CallerSockets
 from tamarack_router.held_request import HeldRequest
-from tamarack_router.kept_answer import AnswerStore, KeptAnswer
 from tamarack_router.remote_answers import RemoteAnswers
+from tamarack_router.stored_answer import AnswerStore, StoredAnswer
 
 
 class FollowedRequest(NamedTuple):
@@ -50,7 +50,7 @@
         for followed in self._following.pop(request, []):
             self._release(followed.held)
 
-    def take_readable(self, answer: KeptAnswer) -> FollowedRequest | None:
+    def pop_adoptable(self, answer: StoredAnswer) -> FollowedRequest | None:
         """Return a request whose run can be read at its endpoint, or None; it follows no longer.
 
         Otherwise a caller whose router crashed would get the outcome "unknown", although the
@@ -63,7 +63,7 @@
                 return followed
         return None
 
-    def take_unclaimed(self, correlation: int) -> HeldRequest | None:
+    def pop_unclaimed(self, correlation: int) -> HeldRequest | None:
         """Return a request to claim again as its holder no longer has the run, or None.
 
         The request follows no longer. None is returned if it was claimed again before.
@@ -73,14 +73,14 @@
         """
         answer = self._remote.find(correlation)
         waiting = self._following.get(answer.request, []) if answer is not None else []
-        if answer is None or not waiting or waiting[0].held.claimed_again:
+        if answer is None or not waiting or waiting[0].held.claim_retried:
             return None
         held = waiting[0].held
-        held.claimed_again = True
+        held.claim_retried = True
         self._switch_to_held(answer, held)
         return held
 
-    def _switch_to_held(self, answer: KeptAnswer, held: HeldRequest) -> None:
+    def _switch_to_held(self, answer: StoredAnswer, held: HeldRequest) -> None:
         """Switch the followers of a mirrored answer to a request that is held here."""
         for other in self._following.pop(answer.request):
             if other.held is not held:
--- a/packages/router/src/tamarack_router/follower.py
+++ b/packages/router/src/tamarack_router/follower.py
@@ -11,7 +11,7 @@
 
 from tamarack_core.errors import Outcome
 from tamarack_router.http_reply import error_body, json_bytes, refusal_reply
-from tamarack_router.kept_answer import AnswerState, KeptAnswer
+from tamarack_router.stored_answer import AnswerState, StoredAnswer
 
 WRITE_BYTES = 262_144
 _PLACEHOLDER_REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -34,7 +34,7 @@
     def __init__(
         self,
         sock: socket.socket,
-        answer: KeptAnswer,
+        answer: StoredAnswer,
         *,
         offset: int = 0,
         state_only: bool = False,
@@ -60,7 +60,7 @@
         return self._sock
 
     @property
-    def answer(self) -> KeptAnswer:
+    def answer(self) -> StoredAnswer:
         """The answer that is followed."""
         return self._answer
 
@@ -92,7 +92,7 @@
         if mask & selectors.EVENT_WRITE:
             self.pump()
 
-    def follow(self, answer: KeptAnswer) -> None:
+    def follow(self, answer: StoredAnswer) -> None:
         """Continue with another copy of the same answer, from the current position."""
         self._answer = answer
 
--- a/packages/router/src/tamarack_router/held_request.py
+++ b/packages/router/src/tamarack_router/held_request.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from tamarack_core.request_spec import RequestSpec
-from tamarack_router.kept_answer import KeptAnswer
 from tamarack_router.messages import EndpointCall
 from tamarack_router.run import Run
+from tamarack_router.stored_answer import StoredAnswer
 
 
 class HeldRequest:
@@ -24,14 +24,14 @@
     """
 
     def __init__(
-        self, spec: RequestSpec, call: EndpointCall, answer: KeptAnswer, span: Any
+        self, spec: RequestSpec, call: EndpointCall, answer: StoredAnswer, span: Any
     ) -> None:
         self.spec = spec
         self.call = call
         self.answer = answer
         self.span = span
         self.run: Run | None = None
-        self.claimed_again = False
+        self.claim_retried = False
         self.wait: Any = None
 
     def end_wait(self) -> None:
--- a/packages/router/src/tamarack_router/http_listener.py
+++ b/packages/router/src/tamarack_router/http_listener.py
@@ -12,10 +12,10 @@
 from cheroot.server import Gateway, HTTPConnection, HTTPServer
 
 from tamarack_core.errors import ErrorCode, Outcome, Refusal
+from tamarack_router.call_timeouts import CallTimeouts
 from tamarack_router.drain import drain
 from tamarack_router.http_reply import Reply, refusal_reply
 from tamarack_router.logs import PartLog
-from tamarack_router.slow_callers import SlowCallers
 
 # With cheroot's default backlog of 5, connections are reset when 200 callers connect at once.
 BACKLOG = 1_024
@@ -35,7 +35,7 @@
         Path and query as the caller sent them, for forwarding.
     headers
         Headers by name in lower case.
-    slow
+    timeouts
         Bounds the time in which this call's body is read.
     """
 
@@ -46,7 +46,7 @@
     headers: dict[str, str]
     sock: socket.socket
     reader: Any
-    slow: SlowCallers
+    timeouts: CallTimeouts
 
     @property
     def content_length(self) -> int | None:
@@ -100,10 +100,10 @@
         private_key: str = "",
     ) -> None:
         host, _, port = address.rpartition(":")
-        self._slow = SlowCallers(limits.send_ms / 1000, limits.threads, limits.share_alpha)
+        self._timeouts = CallTimeouts(limits.send_ms / 1000, limits.threads, limits.share_alpha)
         self._server = HTTPServer(
             (host, int(port)),
-            _gateway_for(app, PartLog(part), self._slow),
+            _gateway_for(app, PartLog(part), self._timeouts),
             minthreads=limits.threads,
             maxthreads=limits.threads,
             server_name="tamarackd",
@@ -114,7 +114,7 @@
         self._server.max_request_body_size = 0
         self._server.keep_alive_conn_limit = KEEP_ALIVE_CONNECTIONS
         self._server.timeout = IDLE_TIMEOUT_S
-        self._server.ConnectionClass = _connection_class(self._slow)
+        self._server.ConnectionClass = _connection_class(self._timeouts)
         self._server.error_log = _error_log(PartLog(part))  # type: ignore[method-assign]
         if certificate:
             from cheroot.ssl.builtin import BuiltinSSLAdapter
@@ -125,7 +125,7 @@
     def __enter__(self) -> HttpListener:
         self._server.prepare()
         self._thread.start()
-        self._slow.start()
+        self._timeouts.start()
         return self
 
     def __exit__(
@@ -134,7 +134,7 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        self._slow.stop()
+        self._timeouts.stop()
         self._server.stop()
 
     @property
@@ -144,21 +144,21 @@
         return f"{host}:{port}"
 
 
-def _connection_class(slow: SlowCallers) -> type:
+def _connection_class(timeouts: CallTimeouts) -> type:
     class WatchedConnection(HTTPConnection):
         """A connection whose time in a worker thread is bounded."""
 
         def communicate(self) -> Any:
-            slow.watch(self.socket)
+            timeouts.watch(self.socket)
             try:
                 return super().communicate()
             finally:
-                slow.release(self.socket)
+                timeouts.release(self.socket)
 
     return WatchedConnection
 
 
-def _gateway_for(app: App, log: PartLog, slow: SlowCallers) -> type:
+def _gateway_for(app: App, log: PartLog, timeouts: CallTimeouts) -> type:
     class AppGateway(Gateway):
         """Passes a request to the app, then writes its reply or hands over the socket."""
 
@@ -169,7 +169,7 @@
                 _write(req, refusal_reply(_bad_request("HTTP/1.1 is needed.")))
                 return
             try:
-                reply = app.respond(_call(req, slow))
+                reply = app.respond(_call(req, timeouts))
             except Exception as error:
                 log.error(
                     "A call raised an exception.",
@@ -196,7 +196,7 @@
     return Refusal(ErrorCode.BAD_REQUEST, message)
 
 
-def _call(req: Any, slow: SlowCallers) -> HttpCall:
+def _call(req: Any, timeouts: CallTimeouts) -> HttpCall:
     headers = {
         name.decode("latin-1").lower(): value.decode("latin-1")
         for name, value in req.inheaders.items()
@@ -210,7 +210,7 @@
         headers,
         req.conn.socket,
         req.rfile,
-        slow,
+        timeouts,
     )
 
 
--- a/packages/router/src/tamarack_router/load_task.py
+++ b/packages/router/src/tamarack_router/load_task.py
@@ -9,7 +9,7 @@
 
 from tamarack_core.endpoint_pool import LoadReport
 from tamarack_router.mailbox import Mailbox
-from tamarack_router.messages import LoadRead
+from tamarack_router.messages import LoadPolled
 from tamarack_router.task import Task
 
 CONNECT_TIMEOUT_S = 0.3
@@ -64,4 +64,4 @@
             )
         except (urllib3.exceptions.HTTPError, ValueError, AttributeError):
             load = LoadReport(False)
-        self._control.put(LoadRead(name, load))
+        self._control.put(LoadPolled(name, load))
--- a/packages/router/src/tamarack_router/main.py
+++ b/packages/router/src/tamarack_router/main.py
@@ -19,7 +19,6 @@
 from tamarack_router.control import Control
 from tamarack_router.fleet_view import ViewHolder
 from tamarack_router.http_listener import App, HttpListener, ListenerLimits
-from tamarack_router.kept_answer import AnswerStore
 from tamarack_router.load_task import LoadTask
 from tamarack_router.logs import PartLog, start_logs
 from tamarack_router.mailbox import Mailbox
@@ -32,7 +31,8 @@
 from tamarack_router.relay import Relay
 from tamarack_router.run import RunLimits
 from tamarack_router.settings import Settings, printable, settings_from_process
-from tamarack_router.share_guard import ShareGuard
+from tamarack_router.share_limiter import ShareLimiter
+from tamarack_router.stored_answer import AnswerStore
 from tamarack_router.tracing import Tracing
 
 EXIT_OK = 0
@@ -84,7 +84,7 @@
         )
         views = ViewHolder()
         mailbox = stack.enter_context(Mailbox())
-        held = ShareGuard(settings.max_held, settings.share_alpha)
+        held = ShareLimiter(settings.max_held, settings.share_alpha)
         answers = AnswerStore(settings.answer_memory_bytes, settings.answer_lifetime_ms)
         limits = RunLimits(settings.stream_silence_ms, settings.whole_silence_ms)
         self.relay = stack.enter_context(Relay(clock, mailbox, answers, held, tracing, limits))
@@ -152,7 +152,7 @@
         platform = PlatformTask(store, table, instances, mailbox, settings.config_poll_ms)
         stack.enter_context(platform)
         load = stack.enter_context(LoadTask(mailbox, settings.load_poll_ms))
-        self.control.serve(platform, load)
+        self.control.set_blocking_tasks(platform, load)
         orders = OrderTask(settings.router, self._clock, views, table, settings.order_interval_ms)
         stack.enter_context(orders)
         admin = AdminApp(
--- a/packages/router/src/tamarack_router/messages.py
+++ b/packages/router/src/tamarack_router/messages.py
@@ -109,7 +109,7 @@
     message: Any
 
 
-class DoubtRouter(NamedTuple):
+class ProbeRouter(NamedTuple):
     """Relay to control: probe a router at once, as it may have failed."""
 
     router: str
@@ -128,21 +128,21 @@
     part: AnswerPart
 
 
-class LoadRead(NamedTuple):
+class LoadPolled(NamedTuple):
     """Load task to control: an endpoint's load report."""
 
     endpoint: str
     load: LoadReport
 
 
-class HeadRead(NamedTuple):
+class HeadPolled(NamedTuple):
     """Platform task to control: the head version, None if the store did not respond."""
 
     version: int | None
     store_up: bool
 
 
-class ChangesRead(NamedTuple):
+class ChangesFetched(NamedTuple):
     """Platform task to control: changes read from the store, after a snapshot if one was read."""
 
     snapshot: Configuration | None
@@ -156,7 +156,7 @@
     answer: ClaimAnswer
 
 
-class InstancesRead(NamedTuple):
+class InstancesFetched(NamedTuple):
     """Platform task to control: routers' peer addresses, and names of leaving endpoints."""
 
     addresses: list[str]
--- a/packages/router/src/tamarack_router/platform_task.py
+++ b/packages/router/src/tamarack_router/platform_task.py
@@ -13,7 +13,7 @@
 from tamarack_router.config_store import SNAPSHOT_EVERY, ConfigStore
 from tamarack_router.logs import PartLog
 from tamarack_router.mailbox import Mailbox
-from tamarack_router.messages import ChangesRead, HeadRead, InstancesRead, RowClaimed
+from tamarack_router.messages import ChangesFetched, HeadPolled, InstancesFetched, RowClaimed
 from tamarack_router.platform import (
     Condition,
     InstanceList,
@@ -70,7 +70,7 @@
         """Claim an idempotency key by inserting its row."""
         self._pool.submit(self._claim, claim)
 
-    def row_done(self, done: RowDone) -> None:
+    def record_key_state(self, done: RowDone) -> None:
         """Record the final state of a key's run."""
         self._pool.submit(self._row_done, done)
 
@@ -91,10 +91,10 @@
         while not self._ending.is_set():
             try:
                 self._log_store_change(True)
-                self._control.put(HeadRead(self._store.head().version, True))
+                self._control.put(HeadPolled(self._store.head().version, True))
             except PlatformError:
                 self._log_store_change(False)
-                self._control.put(HeadRead(None, False))
+                self._control.put(HeadPolled(None, False))
             self._wake.wait(self._poll_s)
             self._wake.clear()
 
@@ -108,7 +108,7 @@
                     for i in instances
                     if i["kind"] == "endpoint" and i["state"] == "leaving"
                 )
-                self._control.put(InstancesRead(seeds, leaving))
+                self._control.put(InstancesFetched(seeds, leaving))
             except PlatformError:
                 self._log.debug("The instance list did not answer.")
             self._ending.wait(INSTANCE_INTERVAL_S)
@@ -124,7 +124,7 @@
         try:
             snapshot = self._store.snapshot() if after == 0 else None
             start = snapshot.version if snapshot is not None else after
-            self._control.put(ChangesRead(snapshot, self._store.changes_after(start)))
+            self._control.put(ChangesFetched(snapshot, self._store.changes_after(start)))
         except PlatformError:
             self._log.debug("Configuration changes could not be read.")
 
--- a/packages/router/src/tamarack_router/relay.py
+++ b/packages/router/src/tamarack_router/relay.py
@@ -21,7 +21,6 @@
 from tamarack_router.follower import Follower
 from tamarack_router.handlers import Handlers
 from tamarack_router.held_request import HeldRequest
-from tamarack_router.kept_answer import AnswerState, AnswerStore, KeptAnswer
 from tamarack_router.logs import PartLog
 from tamarack_router.mailbox import Mailbox
 from tamarack_router.mailbox_task import MailboxTask
@@ -42,7 +41,8 @@
 from tamarack_router.remote_answers import RemoteAnswers, answer_part
 from tamarack_router.run import RESUME_PAUSE_MS, Run, RunLimits, Step
 from tamarack_router.run_sockets import RunSockets
-from tamarack_router.share_guard import ShareGuard
+from tamarack_router.share_limiter import ShareLimiter
+from tamarack_router.stored_answer import AnswerState, AnswerStore, StoredAnswer
 from tamarack_router.timers import Timers
 from tamarack_router.tracing import Tracing, traceparent_of
 
@@ -59,7 +59,7 @@
     ----------
     control
         Mailbox of the control task.
-    guard
+    limiter
         Limits the held requests per workspace; a request's place is released when it ends.
     """
 
@@ -68,7 +68,7 @@
         clock: Clock,
         control: Mailbox,
         answers: AnswerStore,
-        guard: ShareGuard,
+        limiter: ShareLimiter,
         tracing: Tracing,
         limits: RunLimits,
     ) -> None:
@@ -76,7 +76,7 @@
         self._clock = clock
         self._control = control
         self._answers = answers
-        self._guard = guard
+        self._limiter = limiter
         self._tracing = tracing
         self._limits = limits
         self._selector = selectors.DefaultSelector()
@@ -101,7 +101,7 @@
         return {
             "requests_held": self.held,
             "callers_connected": self.followers,
-            "answers_kept_bytes": self._answers.kept_bytes,
+            "answers_kept_bytes": self._answers.stored_bytes,
             "answers_evicted": self._answers.evicted,
         }
 
@@ -161,7 +161,7 @@
             self._counts["deadline_while_running"] += 1
             message = "The deadline passed while the request was running."
             self._abort(held, Refusal(ErrorCode.DEADLINE, message, Outcome.UNKNOWN))
-        elif run.silent(now_ms):
+        elif run.timed_out(now_ms):
             self._counts["silent_connections"] += 1
             self._log.info("An endpoint connection timed out.", request=held.spec.request)
             self._step(held, run, run.lost())
@@ -177,7 +177,7 @@
     @handles(HoldRequest)
     def _on_hold(self, message: HoldRequest) -> None:
         spec = message.spec
-        answer = KeptAnswer(spec.request, spec.workspace, stream=message.call.stream)
+        answer = StoredAnswer(spec.request, spec.workspace, stream=message.call.stream)
         self._answers.add(answer)
         held = self._held[spec.request] = HeldRequest(spec, message.call, answer, message.span)
         held.wait = self._tracing.start("wait", parent=message.span)
@@ -261,18 +261,18 @@
         self._answers.remove(message.request)
         self._callers.move(message.request, target)
 
-    def _on_holder_unresponsive(self, answer: KeptAnswer) -> None:
+    def _on_holder_unresponsive(self, answer: StoredAnswer) -> None:
         """Adopt a run at its endpoint when the router that holds its answer does not respond."""
-        followed = self._followed.take_readable(answer)
+        followed = self._followed.pop_adoptable(answer)
         if followed is None:
-            self._remote.lose(answer)
+            self._remote.mark_lost(answer)
             self._callers.pump(answer)
             return
         self._adopt(followed.held, followed.message)
 
     def _retry_claim(self, correlation: int) -> bool:
         """Claim a key once more when the holder no longer has the request that is followed."""
-        held = self._followed.take_unclaimed(correlation)
+        held = self._followed.pop_unclaimed(correlation)
         if held is None:
             return False
         self._counts["claimed_again"] += 1
@@ -296,7 +296,7 @@
     def _on_peer_answer(self, message: PeerAnswer) -> None:
         if message.part.state == "gone" and self._retry_claim(message.part.correlation):
             return
-        answer = self._remote.take(message.part, self._clock.now_ms)
+        answer = self._remote.append_part(message.part, self._clock.now_ms)
         if answer is not None:
             self._callers.pump(answer)
 
@@ -326,7 +326,7 @@
     def _step(self, held: HeldRequest, run: Run, step: Step) -> None:
         now_ms = self._clock.now_ms
         request = held.spec.request
-        if step == Step.GREW:
+        if step == Step.DATA:
             self._callers.pump(held.answer)
             self._report(held, run, now_ms)
         elif step == Step.FINISHED:
@@ -351,7 +351,7 @@
             self._abort(held, Refusal(ErrorCode.ENDPOINT_FAILED, message, Outcome.UNKNOWN))
 
     def _report(self, held: HeldRequest, run: Run, now_ms: float) -> None:
-        cost = run.passed_charge(now_ms)
+        cost = run.unreported_cost(now_ms)
         if cost:
             self._control.put(RunProgress(held.spec.request, cost))
 
@@ -392,8 +392,8 @@
             self._answers.remove(held.spec.request)
 
     def _release_held(self, held: HeldRequest) -> None:
-        """Stop holding a request: release its place in the share guard and end its spans."""
+        """Stop holding a request: release its place in the share limiter and end its spans."""
         self._held.pop(held.spec.request, None)
-        self._guard.give_back(held.spec.workspace)
+        self._limiter.release(held.spec.workspace)
         held.end_wait()
         held.span.end()
--- a/packages/router/src/tamarack_router/remote_answers.py
+++ b/packages/router/src/tamarack_router/remote_answers.py
@@ -6,9 +6,9 @@
 
 from tamarack_core.claim_messages import AnswerPart, AnswerQuery
 from tamarack_core.errors import ErrorCode, Outcome, Refusal
-from tamarack_router.kept_answer import AnswerState, KeptAnswer
 from tamarack_router.mailbox import Mailbox
-from tamarack_router.messages import DoubtRouter, PeerMessage
+from tamarack_router.messages import PeerMessage, ProbeRouter
+from tamarack_router.stored_answer import AnswerState, StoredAnswer
 
 SILENCE_MS = 700.0
 # A live holder answers each query within milliseconds and is queried every 100 ms.
@@ -21,7 +21,7 @@
 class _Mirror:
     """One mirrored answer and the router that holds the original."""
 
-    def __init__(self, answer: KeptAnswer, holder: str, correlation: int, now_ms: float) -> None:
+    def __init__(self, answer: StoredAnswer, holder: str, correlation: int, now_ms: float) -> None:
         self.answer = answer
         self.holder = holder
         self.correlation = correlation
@@ -37,18 +37,18 @@
         self._by_correlation: dict[int, _Mirror] = {}
         self._correlations = itertools.count(1)
 
-    def open(self, request: str, workspace: str, now_ms: float) -> KeptAnswer:
+    def open(self, request: str, workspace: str, now_ms: float) -> StoredAnswer:
         """Start mirroring a request's answer; the request id names the router that holds it."""
         existing = self._mirrors.get(request)
         if existing is not None and existing.answer.workspace == workspace:
             return existing.answer
-        answer = KeptAnswer(request, workspace, stream=False)
+        answer = StoredAnswer(request, workspace, stream=False)
         holder, _, _ = request.partition("~")
         mirror = _Mirror(answer, holder, next(self._correlations), now_ms)
         self._mirrors[request] = mirror
         self._by_correlation[mirror.correlation] = mirror
         # The caller may ask this router because the holder has failed.
-        self._control.put(DoubtRouter(holder))
+        self._control.put(ProbeRouter(holder))
         self._query(mirror)
         return answer
 
@@ -58,7 +58,7 @@
         if mirror is not None:
             del self._by_correlation[mirror.correlation]
 
-    def check(self, now_ms: float) -> list[KeptAnswer]:
+    def check(self, now_ms: float) -> list[StoredAnswer]:
         """Query all holders again; return the answers whose holder does not respond."""
         lost = []
         for mirror in self._mirrors.values():
@@ -69,20 +69,20 @@
                 lost.append(mirror.answer)
                 continue
             if silent_ms >= PROBE_AFTER_MS:
-                self._control.put(DoubtRouter(mirror.holder))
+                self._control.put(ProbeRouter(mirror.holder))
             self._query(mirror)
         return lost
 
-    def find(self, correlation: int) -> KeptAnswer | None:
+    def find(self, correlation: int) -> StoredAnswer | None:
         """Return the answer that is mirrored under a correlation number, if any."""
         mirror = self._by_correlation.get(correlation)
         return mirror.answer if mirror is not None else None
 
-    def lose(self, answer: KeptAnswer) -> None:
+    def mark_lost(self, answer: StoredAnswer) -> None:
         """End an answer whose holder does not respond and which no other process can supply."""
         answer.refuse(Refusal(ErrorCode.KEY_UNKNOWN, LOST_MESSAGE, Outcome.UNKNOWN))
 
-    def take(self, part: AnswerPart, now_ms: float) -> KeptAnswer | None:
+    def append_part(self, part: AnswerPart, now_ms: float) -> StoredAnswer | None:
         """Append a received part; unrequested parts and those at another offset are dropped."""
         mirror = self._by_correlation.get(part.correlation)
         if mirror is None or mirror.answer.ended:
@@ -105,7 +105,7 @@
         self._end(answer, part)
         return answer
 
-    def _end(self, answer: KeptAnswer, part: AnswerPart) -> None:
+    def _end(self, answer: StoredAnswer, part: AnswerPart) -> None:
         if part.state == AnswerState.DONE:
             answer.finish()
         elif part.state in (AnswerState.REFUSED, AnswerState.BROKEN):
@@ -118,7 +118,7 @@
         self._control.put(PeerMessage(mirror.holder, query))
 
 
-def answer_part(query: AnswerQuery, answer: KeptAnswer | None) -> AnswerPart:
+def answer_part(query: AnswerQuery, answer: StoredAnswer | None) -> AnswerPart:
     """Build the reply to a peer's query for an answer stored here."""
     if answer is None:
         return AnswerPart(query.correlation, "gone", 0, "", query.offset, 0, b"")
--- a/packages/router/src/tamarack_router/run.py
+++ b/packages/router/src/tamarack_router/run.py
@@ -10,14 +10,14 @@
 from tamarack_core.defaults import PROGRESS_STEP
 from tamarack_router.endpoint_connection import (
     Body,
-    Broke,
     ConnectionEvent,
+    ConnectionFailed,
     End,
     EndpointConnection,
     Head,
 )
-from tamarack_router.kept_answer import KeptAnswer
 from tamarack_router.messages import EndpointCall
+from tamarack_router.stored_answer import StoredAnswer
 
 CONNECT_MS = 1_000.0
 RESUME_TRIES = 4
@@ -29,7 +29,7 @@
 class Step(Enum):
     """Next action of the relay after a run has processed an event."""
 
-    GREW = 1
+    DATA = 1
     FINISHED = 2
     FAILED = 3
     BROKEN = 4
@@ -70,7 +70,7 @@
     def __init__(
         self,
         call: EndpointCall,
-        answer: KeptAnswer,
+        answer: StoredAnswer,
         address: str,
         limits: RunLimits,
         traceparent: str,
@@ -83,7 +83,7 @@
         self.answer = answer
         self.address = address
         self.started_ms = now_ms
-        self.heard_ms = now_ms
+        self.last_event_ms = now_ms
         self.span: Any = None
         self._limits = limits
         self._traceparent = traceparent
@@ -126,7 +126,7 @@
             return self.call.prompt_cost + self._tokens if self.sent else 0.0
         return now_ms - self.started_ms if self.sent else 0.0
 
-    def passed_charge(self, now_ms: float) -> float:
+    def unreported_cost(self, now_ms: float) -> float:
         """Cost so far if it exceeds the next reporting threshold, else zero."""
         cost = self.cost(now_ms)
         if cost <= self._report_threshold:
@@ -137,7 +137,7 @@
     def open(self, now_ms: float) -> tuple[EndpointConnection, list[ConnectionEvent]]:
         """Start the exchange, or resume it at the current length of the answer."""
         self.close()
-        self.heard_ms = now_ms
+        self.last_event_ms = now_ms
         headers = [("Tamarack-Request-Id", self.answer.request)]
         if self._traceparent:
             headers.append(("traceparent", self._traceparent))
@@ -161,12 +161,12 @@
             self._connection.close()
             self._connection = None
 
-    def silent(self, now_ms: float) -> bool:
+    def timed_out(self, now_ms: float) -> bool:
         """Whether the connect or read timeout has elapsed."""
         connection = self._connection
         if connection is None:
             return False
-        elapsed_ms = now_ms - self.heard_ms
+        elapsed_ms = now_ms - self.last_event_ms
         if not connection.sent:
             return elapsed_ms >= CONNECT_MS
         if self.call.kind != "model":
@@ -185,9 +185,9 @@
         partly_delivered = self.call.stream and self.answer.status != 0
         return Step.BROKEN if partly_delivered else Step.FAILED
 
-    def take(self, event: ConnectionEvent, now_ms: float) -> Step:
+    def handle_event(self, event: ConnectionEvent, now_ms: float) -> Step:
         """Process one event of the connection."""
-        self.heard_ms = now_ms
+        self.last_event_ms = now_ms
         match event:
             case Head(status, headers):
                 return self._head(status, headers)
@@ -195,7 +195,7 @@
                 return self._body(data)
             case End():
                 return self._end()
-            case Broke():
+            case ConnectionFailed():
                 return self.lost()
 
     def _head(self, status: int, headers: dict[str, str]) -> Step:
@@ -207,19 +207,19 @@
             if not self.answer.status:
                 original = int(headers.get("tamarack-status", "200"))
                 self.answer.begin(original, headers.get("content-type", ""))
-            return Step.GREW
+            return Step.DATA
         if status == 503 and headers.get(NOT_RUN_HEADER) == "not-run":
             self._refused_by_endpoint = True
             return Step.FAILED
         self.answer.begin(status, headers.get("content-type", ""))
-        return Step.GREW
+        return Step.DATA
 
     def _body(self, data: bytes) -> Step:
         self.answer.body += data
         self._tokens += data.count(SSE_DATA_PREFIX)
         if self._resuming and self._resumes > 1:
             self._resumes = 1
-        return Step.GREW
+        return Step.DATA
 
     def _end(self) -> Step:
         if not self.call.stream and self.call.kind == "model":
--- a/packages/router/src/tamarack_router/run_sockets.py
+++ b/packages/router/src/tamarack_router/run_sockets.py
@@ -10,11 +10,11 @@
 from tamarack_router.held_request import HeldRequest
 from tamarack_router.run import Run, Step
 
-WentOn = Callable[[HeldRequest, Run, Step], None]
+OnStep = Callable[[HeldRequest, Run, Step], None]
 
 # If one read yields several steps, only the first in this order is taken: a run that has ended or
 # failed has nothing more to write.
-STEP_ORDER = (Step.RESUME, Step.FAILED, Step.BROKEN, Step.FINISHED, Step.GREW)
+STEP_ORDER = (Step.RESUME, Step.FAILED, Step.BROKEN, Step.FINISHED, Step.DATA)
 
 
 class RunSockets:
@@ -26,7 +26,7 @@
         Called with a held request, its run and the step to take.
     """
 
-    def __init__(self, clock: Clock, selector: selectors.BaseSelector, on_step: WentOn) -> None:
+    def __init__(self, clock: Clock, selector: selectors.BaseSelector, on_step: OnStep) -> None:
         self._clock = clock
         self._selector = selector
         self._on_step = on_step
@@ -35,12 +35,12 @@
         """Connect a run to its endpoint and register the connection."""
         connection, events = run.open(self._clock.now_ms)
         if events:
-            self._take(held, run, events)
+            self._handle_events(held, run, events)
             return
 
         def ready(mask: int) -> None:
             if run.connection is connection and held.run is run:
-                self._take(held, run, connection.ready(mask))
+                self._handle_events(held, run, connection.ready(mask))
                 self._update_interest(run, connection)
 
         self._selector.register(connection.sock, connection.interest, ready)
@@ -59,9 +59,9 @@
         if key.events != connection.interest:
             self._selector.modify(connection.sock, connection.interest, key.data)
 
-    def _take(self, held: HeldRequest, run: Run, events: list[ConnectionEvent]) -> None:
+    def _handle_events(self, held: HeldRequest, run: Run, events: list[ConnectionEvent]) -> None:
         now_ms = self._clock.now_ms
-        steps = {run.take(event, now_ms) for event in events}
+        steps = {run.handle_event(event, now_ms) for event in events}
         for step in STEP_ORDER:
             if step in steps:
                 self._on_step(held, run, step)
--- a/packages/router/src/tamarack_router/share_guard.py
+++ b/packages/router/src/tamarack_router/share_limiter.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 
-class ShareGuard:
+class ShareLimiter:
     """Limits each workspace's part of a bounded resource.
 
     A workspace may hold at most `alpha` times the free units, so that a flooding workspace leaves
@@ -32,7 +32,7 @@
         """Number of free units."""
         return self._capacity - self._total
 
-    def take(self, workspace: str) -> bool:
+    def acquire(self, workspace: str) -> bool:
         """Take one unit for a workspace; return False if it already holds its share."""
         with self._lock:
             free = self._capacity - self._total
@@ -42,7 +42,7 @@
             self._total += 1
             return True
 
-    def give_back(self, workspace: str) -> None:
+    def release(self, workspace: str) -> None:
         """Return one unit of a workspace."""
         with self._lock:
             self._held[workspace] -= 1
--- a/packages/router/src/tamarack_router/kept_answer.py
+++ b/packages/router/src/tamarack_router/stored_answer.py
@@ -20,10 +20,10 @@
     BROKEN = "broken"
 
 
-ENDED = (AnswerState.DONE, AnswerState.REFUSED, AnswerState.BROKEN)
+FINAL_STATES = (AnswerState.DONE, AnswerState.REFUSED, AnswerState.BROKEN)
 
 
-class KeptAnswer:
+class StoredAnswer:
     """The answer of one request, as far as it was received.
 
     Attributes
@@ -50,7 +50,7 @@
     @property
     def ended(self) -> bool:
         """Whether the answer is in a final state."""
-        return self.state in ENDED
+        return self.state in FINAL_STATES
 
     @property
     def size(self) -> int:
@@ -96,7 +96,7 @@
     def __init__(self, memory_bytes: int, lifetime_ms: float) -> None:
         self._memory_bytes = memory_bytes
         self._lifetime_ms = lifetime_ms
-        self._answers: dict[str, KeptAnswer] = {}
+        self._answers: dict[str, StoredAnswer] = {}
         self._ended: dict[str, OrderedDict[str, int]] = {}
         self._sizes: Counter[str] = Counter()
         self._total = 0
@@ -106,7 +106,7 @@
         return len(self._answers)
 
     @property
-    def kept_bytes(self) -> int:
+    def stored_bytes(self) -> int:
         """Total size of ended answers in bytes."""
         return self._total
 
@@ -115,11 +115,11 @@
         """Number of answers evicted before their lifetime because of the memory limit."""
         return self._evicted
 
-    def add(self, answer: KeptAnswer) -> None:
+    def add(self, answer: StoredAnswer) -> None:
         """Store an answer that has not ended."""
         self._answers[answer.request] = answer
 
-    def find(self, request: str, workspace: str) -> KeptAnswer | None:
+    def find(self, request: str, workspace: str) -> StoredAnswer | None:
         """Return an answer if it belongs to this workspace, else None."""
         answer = self._answers.get(request)
         return answer if answer is not None and answer.workspace == workspace else None
@@ -128,7 +128,7 @@
         """Drop an answer that no caller can request any more."""
         self._answers.pop(request, None)
 
-    def ended(self, answer: KeptAnswer, now_ms: float) -> None:
+    def ended(self, answer: StoredAnswer, now_ms: float) -> None:
         """Count an ended answer against the memory limit and evict others if needed."""
         if answer.request not in self._answers or answer.ended_ms:
             return
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -7,16 +7,16 @@
 import socket
 
 from tamarack_router.endpoint_connection import ConnectionEvent, EndpointConnection
-from tamarack_router.kept_answer import KeptAnswer
 from tamarack_router.messages import EndpointCall
 from tamarack_router.run import Run, RunLimits, Step
+from tamarack_router.stored_answer import StoredAnswer
 
 CALL = EndpointCall("POST", "/v1/completions", [], b"{}", "model", False)
 WAIT_S = 5.0
 
 
 def make_run(address: str) -> Run:
-    answer = KeptAnswer("r1~1~1", "w", stream=False)
+    answer = StoredAnswer("r1~1~1", "w", stream=False)
     return Run(CALL, answer, address, RunLimits(1_000, 1_000), "", 0.0)
 
 
@@ -54,16 +54,16 @@
     accepted.close()
     listener.close()
     (broke,) = until_event(connection, [])
-    assert run.take(broke, 1.0) == Step.RESUME
+    assert run.handle_event(broke, 1.0) == Step.RESUME
     run.close()
     resumed, events = run.open(2.0)
     (refused,) = until_event(resumed, events)
-    step = run.take(refused, 3.0)
+    step = run.handle_event(refused, 3.0)
     while step == Step.RESUME:
         run.close()
         resumed, events = run.open(4.0)
         (refused,) = until_event(resumed, events)
-        step = run.take(refused, 5.0)
+        step = run.handle_event(refused, 5.0)
     assert step == Step.FAILED
     assert run.sent
 
@@ -75,5 +75,5 @@
     run = make_run(f"{host}:{port}")
     connection, events = run.open(0.0)
     (refused,) = until_event(connection, events)
-    assert run.take(refused, 1.0) == Step.FAILED
+    assert run.handle_event(refused, 1.0) == Step.FAILED
     assert not run.sent
