--- a/packages/bench/src/tamarack_bench/accounts.py
+++ b/packages/bench/src/tamarack_bench/accounts.py
@@ -22,7 +22,7 @@
         return self.end_ms - self.start_ms
 
 
-class Verdict(NamedTuple):
+class PromiseReport(NamedTuple):
     """How far the promises to callers were kept, as numbers of requests.
 
     Attributes
@@ -100,13 +100,13 @@
     return sorted(doubled, key=lambda run: (run["marker"], run["started"]))
 
 
-def judge(results: list[Result], runs: list[RunRecord]) -> Verdict:
+def check_promises(results: list[Result], runs: list[RunRecord]) -> PromiseReport:
     """Compare the outcomes that callers saw with the endpoints' runs, by the callers' markers."""
     runs_of = Counter(run["marker"] for run in runs if run["marker"])
     outcomes = Counter(result.outcome for result in results)
     refused = [r for r in results if r.outcome == "not-run"]
     answered = [r for r in results if r.outcome == "answered"]
-    return Verdict(
+    return PromiseReport(
         len(answered),
         len(refused),
         outcomes["unknown"],
--- a/packages/bench/src/tamarack_bench/demo.py
+++ b/packages/bench/src/tamarack_bench/demo.py
@@ -12,11 +12,11 @@
 from rich.table import Table
 
 from tamarack_bench.accounts import (
-    Verdict,
+    PromiseReport,
     Window,
     busy_slots,
+    check_promises,
     fair_shares,
-    judge,
     read_runs,
     served_in,
 )
@@ -93,18 +93,18 @@
     for title, window in (("ordinary", first), ("peak", second), ("after stop and kill", third)):
         part = busy_slots(model_runs, window) / (slots * window.length_ms)
         console.print(f"Utilisation, {title}: {part:.3f}")
-    verdict = judge(load.results, runs)
-    _print_verdict(console, verdict, graceful=graceful)
-    return kept and graceful and not verdict.broken and not lagging.routers
+    promises = check_promises(load.results, runs)
+    _print_promises(console, promises, graceful=graceful)
+    return kept and graceful and not promises.broken and not lagging.routers
 
 
-def _print_verdict(console: Console, verdict: Verdict, *, graceful: bool) -> None:
+def _print_promises(console: Console, promises: PromiseReport, *, graceful: bool) -> None:
     console.print(
-        f"Requests: answered {verdict.answered}, refused as not run {verdict.refused}, "
-        f"outcome unknown {verdict.unknown}."
+        f"Requests: answered {promises.answered}, refused as not run {promises.refused}, "
+        f"outcome unknown {promises.unknown}."
     )
     console.print(
-        f"[b]lost {verdict.lost}, doubled {verdict.doubled}, mixed {verdict.mixed}[/b]; "
+        f"[b]lost {promises.lost}, doubled {promises.doubled}, mixed {promises.mixed}[/b]; "
         f"graceful stop {'clean' if graceful else 'FAILED'}."
     )
 
--- a/packages/bench/src/tamarack_bench/fair_scenarios.py
+++ b/packages/bench/src/tamarack_bench/fair_scenarios.py
@@ -7,13 +7,13 @@
 
 from tamarack_bench.accounts import Window, served_in
 from tamarack_bench.fleet_run import (
-    Account,
+    LoadSummary,
     backlogged_of,
+    finish_load,
     loaded_fleet,
     mixed_plans,
     model_slots,
     now_ms,
-    settle,
     sleep_window,
 )
 from tamarack_bench.gaps import Gap, cost_of
@@ -26,7 +26,7 @@
 FLOOD_CALLERS = 60
 
 
-def _run_policy(options: Options, policy: str) -> tuple[Account, Window]:
+def _run_policy(options: Options, policy: str) -> tuple[LoadSummary, Window]:
     settings = {"TAMARACK_POLICY": policy}
     plans = mixed_plans(DEPLOYMENTS[options.deployment], flood=20)
     large = backlogged_of(DEPLOYMENTS[options.deployment])
@@ -34,15 +34,15 @@
     pinned = {name: [max(0, number - 1)] for number, name in enumerate(large)}
     with loaded_fleet(options, plans, settings=settings, pinned=pinned) as loaded:
         window = sleep_window(options.seconds)
-        return settle(loaded), window
+        return finish_load(loaded), window
 
 
-def _bound(account: Account, window: Window, gap: Gap) -> float:
+def _bound(summary: LoadSummary, window: Window, gap: Gap) -> float:
     """Two of the largest requests, plus what a workspace is served in the mean time of one run."""
-    large = set(backlogged_of(account.deployment))
+    large = set(backlogged_of(summary.deployment))
     runs = [
         run
-        for run in account.runs
+        for run in summary.runs
         if run["workspace"] in large and window.start_ms <= run["finished"] <= window.end_ms
     ]
     run_ms = sum(run["finished"] - run["started"] for run in runs) / len(runs)
@@ -56,14 +56,14 @@
     figures: dict[str, float] = {}
     series = {}
     for policy in ("fair", "fcfs", "local"):
-        account, window = _run_policy(options, policy)
-        gap = account.gap(window)
+        summary, window = _run_policy(options, policy)
+        gap = summary.gap(window)
         figures[f"gap_{policy}"] = gap.largest
-        figures[f"utilisation_{policy}"] = account.utilisation(window)
+        figures[f"utilisation_{policy}"] = summary.utilisation(window)
         series[f"gap, {policy}"] = gap.points
         if policy == "fair":
             figures["largest_request"] = gap.largest_request
-            figures["bound"] = _bound(account, window, gap)
+            figures["bound"] = _bound(summary, window, gap)
     figures["gap_to_bound"] = figures["gap_fair"] / figures["bound"]
     figures["gap_to_largest_request"] = figures["gap_fair"] / figures["largest_request"]
     figures["gap_to_local"] = figures["gap_fair"] / max(1.0, figures["gap_local"])
@@ -71,20 +71,20 @@
     return Reading("fairness", figures, series)
 
 
-def _after(account: Account, event_ms: float, length_s: float) -> dict[str, float]:
+def _after(summary: LoadSummary, event_ms: float, length_s: float) -> dict[str, float]:
     """Figures of the time since a failure, and of the time since recovery from it."""
     whole = Window(event_ms, event_ms + (RECOVERY_S + length_s) * 1000)
     later = Window(event_ms + RECOVERY_S * 1000, whole.end_ms)
-    gap = account.gap(later)
+    gap = summary.gap(later)
     return {
-        "utilisation": account.utilisation(whole),
-        "idle_ms_per_slot": account.idle_ms(whole),
-        "utilisation_after_recovery": account.utilisation(later),
-        "gap_through": account.gap(whole).largest,
+        "utilisation": summary.utilisation(whole),
+        "idle_ms_per_slot": summary.idle_ms(whole),
+        "utilisation_after_recovery": summary.utilisation(later),
+        "gap_through": summary.gap(whole).largest,
         "gap_after_recovery": gap.largest,
         "gap_after_recovery_to_largest_request": gap.largest / max(1.0, gap.largest_request),
-        "unknown": float(sum(1 for r in account.results if r.outcome == "unknown")),
-        "cut_or_mixed": float(sum(1 for r in account.results if r.outcome in ("cut", "mixed"))),
+        "unknown": float(sum(1 for r in summary.results if r.outcome == "unknown")),
+        "cut_or_mixed": float(sum(1 for r in summary.results if r.outcome in ("cut", "mixed"))),
     }
 
 
@@ -95,8 +95,8 @@
         loaded.fleet.processes.signal(loaded.dispatcher(), signal.SIGKILL)
         event_ms = now_ms()
         time.sleep(RECOVERY_S + options.seconds)
-        account = settle(loaded)
-    return Reading("kill-dispatcher", _after(account, event_ms, options.seconds))
+        summary = finish_load(loaded)
+    return Reading("kill-dispatcher", _after(summary, event_ms, options.seconds))
 
 
 @scenario("pause-dispatcher", "a dispatcher is stopped past its term and resumed")
@@ -109,8 +109,8 @@
         time.sleep(PAUSE_S)
         loaded.fleet.processes.signal(name, signal.SIGCONT)
         time.sleep(max(0.0, RECOVERY_S + options.seconds - PAUSE_S))
-        account = settle(loaded)
-    return Reading("pause-dispatcher", _after(account, event_ms, options.seconds))
+        summary = finish_load(loaded)
+    return Reading("pause-dispatcher", _after(summary, event_ms, options.seconds))
 
 
 def _waits(results: list[Result], workspace: str) -> list[float]:
@@ -139,8 +139,8 @@
     ):
         with loaded_fleet(options, plans) as loaded:
             sleep_window(options.seconds)
-            account = settle(loaded)
-        waits = _waits(account.results, small)
+            summary = finish_load(loaded)
+        waits = _waits(summary.results, small)
         figures[f"p50_wait_{name}_ms"] = percentile(waits, 0.5) * 1000
         figures[f"p95_wait_{name}_ms"] = percentile(waits, 0.95) * 1000
     figures["p95_ratio_to_alone"] = figures["p95_wait_flooded_ms"] / figures["p95_wait_alone_ms"]
@@ -163,10 +163,10 @@
     ):
         with loaded_fleet(options, pinned=pinned) as loaded:
             window = sleep_window(options.seconds)
-            account = settle(loaded)
-        figures[f"utilisation_{spread}"] = account.utilisation(window)
-        figures[f"gap_{spread}"] = account.gap(window).largest
-        served = served_in(account.runs, window)
+            summary = finish_load(loaded)
+        figures[f"utilisation_{spread}"] = summary.utilisation(window)
+        figures[f"gap_{spread}"] = summary.gap(window).largest
+        served = served_in(summary.runs, window)
         total = sum(served[name] for name in large)
         shares[spread] = {name: served[name] / total for name in large}
     figures["utilisation_ratio"] = figures["utilisation_uneven"] / figures["utilisation_even"]
@@ -184,8 +184,8 @@
         settings = {"TAMARACK_SHARD_SIZE": str(size), "TAMARACK_EXCHANGE_MS": "500"}
         with loaded_fleet(options, settings=settings) as loaded:
             window = sleep_window(options.seconds)
-            account = settle(loaded)
-        figures[f"utilisation_{name}"] = account.utilisation(window)
-        figures[f"gap_{name}"] = account.gap(window).largest
+            summary = finish_load(loaded)
+        figures[f"utilisation_{name}"] = summary.utilisation(window)
+        figures[f"gap_{name}"] = summary.gap(window).largest
     figures["slots"] = float(model_slots(DEPLOYMENTS[options.deployment]))
     return Reading("shards", figures)
--- a/packages/bench/src/tamarack_bench/fleet_run.py
+++ b/packages/bench/src/tamarack_bench/fleet_run.py
@@ -76,7 +76,7 @@
         return newest.rpartition(":")[0]
 
 
-class Account(NamedTuple):
+class LoadSummary(NamedTuple):
     """Runs and results of a load, read before the fleet is stopped."""
 
     runs: list[RunRecord]
@@ -146,10 +146,10 @@
             yield LoadedFleet(fleet, load, deployment)
 
 
-def settle(loaded: LoadedFleet) -> Account:
+def finish_load(loaded: LoadedFleet) -> LoadSummary:
     """Stop the load and read the logs; to be called inside the context of `loaded_fleet`."""
     loaded.load.finish()
-    return Account(
+    return LoadSummary(
         read_runs(loaded.fleet, "model"),
         read_runs(loaded.fleet),
         loaded.load.results,
--- a/packages/bench/src/tamarack_bench/order_scenarios.py
+++ b/packages/bench/src/tamarack_bench/order_scenarios.py
@@ -5,7 +5,7 @@
 import time
 from typing import Any
 
-from tamarack_bench.fleet_run import loaded_fleet, now_ms, settle
+from tamarack_bench.fleet_run import finish_load, loaded_fleet, now_ms
 from tamarack_bench.load import CallerPlan
 from tamarack_bench.scenarios import Options, Reading, scenario
 from tamarack_client.admin import AdminClient
@@ -36,7 +36,7 @@
             for e in engines
             for order in fleet.get_json(e["address"], "/standin/orders")["orders"]
         ]
-        account = settle(loaded)
+        summary = finish_load(loaded)
     fences = {order["fence"] for order in orders}
     figures = {
         "engines": float(len(engines)),
@@ -47,9 +47,9 @@
         "orders": float(len(orders)),
         "orders_per_engine_moved": len(orders) / len(moved),
         "holders": float(len(fences)),
-        "cut_or_mixed": float(sum(1 for r in account.results if r.outcome in ("cut", "mixed"))),
-        "refused": float(sum(1 for r in account.results if r.outcome == "not-run")),
-        "unknown": float(sum(1 for r in account.results if r.outcome == "unknown")),
+        "cut_or_mixed": float(sum(1 for r in summary.results if r.outcome in ("cut", "mixed"))),
+        "refused": float(sum(1 for r in summary.results if r.outcome == "not-run")),
+        "unknown": float(sum(1 for r in summary.results if r.outcome == "unknown")),
     }
     return Reading("reload", figures)
 
--- a/packages/bench/src/tamarack_bench/path_scenarios.py
+++ b/packages/bench/src/tamarack_bench/path_scenarios.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from tamarack_bench.fleet_run import loaded_fleet, settle
+from tamarack_bench.fleet_run import finish_load, loaded_fleet
 from tamarack_bench.load import CallerPlan
 from tamarack_bench.scenarios import Options, Reading, percentile, scenario
 from tamarack_bench.stream_client import StreamTimes, run_streams
@@ -143,7 +143,7 @@
         after = [_counts(loaded.fleet, r.metrics) for r in routers]
         elapsed = time.monotonic() - started
         cpu = sum(cpu_seconds(r.pid) for r in routers) - sum(cpu_before)
-        settle(loaded)
+        finish_load(loaded)
     total = {
         name: sum(a.get(name, 0.0) - b.get(name, 0.0) for a, b in zip(after, before, strict=True))
         for name in after[0]
--- a/packages/bench/src/tamarack_bench/quarantine_model.py
+++ b/packages/bench/src/tamarack_bench/quarantine_model.py
@@ -34,16 +34,16 @@
     ----------
     per_s
         Unrelated requests (which crash nothing) per second, over all routers.
-    guilty, guilty_gap_ms
+    culprits, culprit_interval_ms
         Number of culprits (requests that crash every engine that runs them), and the time from an
         answer to a culprit until its next repeat.
-    told_ms
+    message_latency_ms
         Latency of a message from one router to the others.
-    seen_ms
+    max_detection_ms
         Longest time until a router detects an endpoint's termination.
-    back_ms
+    restart_ms
         Time from a termination to the endpoint's next incarnation.
-    hot_part
+    hot_fraction
         Fraction of the unrelated requests that are one and the same.
     failures_ms
         Times at which half of the engines fail without a culprit.
@@ -52,13 +52,13 @@
     routers: int = 6
     engines: int = 9
     per_s: float = 140.0
-    guilty: int = 2
-    guilty_gap_ms: float = 500.0
+    culprits: int = 2
+    culprit_interval_ms: float = 500.0
     seconds: float = 50.0
-    told_ms: float = 30.0
-    seen_ms: float = 60.0
-    back_ms: float = 2_000.0
-    hot_part: float = 0.0
+    message_latency_ms: float = 30.0
+    max_detection_ms: float = 60.0
+    restart_ms: float = 2_000.0
+    hot_fraction: float = 0.0
     failures_ms: tuple[float, ...] = ()
     seed: int = 1
 
@@ -70,7 +70,7 @@
     ----------
     ends
         Number of endpoints that a culprit crashed.
-    late
+    late_arrivals
         For each culprit, arrivals later than 3 s after its third arrival, from routers that had run
         for at least 3 s: younger routers can't have the state yet, and the users accept theirs.
     cut
@@ -82,7 +82,7 @@
     """
 
     ends: int
-    late: list[int]
+    late_arrivals: list[int]
     cut: int
     quarantined: int
     served: float
@@ -108,9 +108,9 @@
 class _Request:
     """One request of a caller; retries of it are new requests."""
 
-    def __init__(self, fingerprint: str, *, guilty: bool, repeats: int) -> None:
+    def __init__(self, fingerprint: str, *, is_culprit: bool, repeats: int) -> None:
         self.fingerprint = fingerprint
-        self.guilty = guilty
+        self.is_culprit = is_culprit
         self.repeats = repeats
         self.sends = 0
 
@@ -148,7 +148,7 @@
         options = self._options
         self._schedule_at(0.0, self._send_unrelated)
         self._schedule_at(0.0, self._settle)
-        for number in range(options.guilty):
+        for number in range(options.culprits):
             self._schedule_at(
                 500.0 + 137.0 * number, partial(self._send_culprit, f"guilty{number}")
             )
@@ -159,7 +159,7 @@
             callback()
         return ModelResult(
             ends=self._counts["ends"],
-            late=[_late_arrivals(arrivals) for arrivals in self._arrivals.values()],
+            late_arrivals=[_late_arrivals(arrivals) for arrivals in self._arrivals.values()],
             cut=self._counts["cut"],
             quarantined=self._counts["quarantined"],
             served=self._counts["served"] / max(1, self._counts["over"]),
@@ -209,19 +209,19 @@
 
         for number in range(len(self.routers)):
             if number != publisher:
-                self._schedule_in(self._options.told_ms, partial(receive, number))
+                self._schedule_in(self._options.message_latency_ms, partial(receive, number))
 
     # requests
 
     def _send_unrelated(self) -> None:
         rng = self._random
-        hot = rng.random() < self._options.hot_part
+        hot = rng.random() < self._options.hot_fraction
         fingerprint = "hot" if hot else f"f{next(self._request_numbers)}"
-        self._submit(_Request(fingerprint, guilty=False, repeats=1))
+        self._submit(_Request(fingerprint, is_culprit=False, repeats=1))
         self._schedule_in(rng.expovariate(self._options.per_s / 1000), self._send_unrelated)
 
     def _send_culprit(self, fingerprint: str) -> None:
-        self._submit(_Request(fingerprint, guilty=True, repeats=0))
+        self._submit(_Request(fingerprint, is_culprit=True, repeats=0))
 
     def _submit(self, request: _Request) -> None:
         self._send(request, self._random.randrange(len(self.routers)))
@@ -254,7 +254,7 @@
         send = _Send(request, router, self._now_ms + queue_ms)
         send.isolated = isolated
         self._engines[key][id(send)] = send
-        if request.guilty:
+        if request.is_culprit:
             in_contact = self._now_ms - self._started_ms[router] >= CONTACT_MS
             arrival = _Arrival(self._now_ms, in_contact)
             self._arrivals.setdefault(request.fingerprint, []).append(arrival)
@@ -280,15 +280,15 @@
             self.routers[send.router].finished(send.request.fingerprint, key)
 
     def _finish(self, request: _Request, outcome: str) -> None:
-        if request.guilty:
+        if request.is_culprit:
             again = partial(self._send_culprit, request.fingerprint)
-            self._schedule_in(self._options.guilty_gap_ms, again)
+            self._schedule_in(self._options.culprit_interval_ms, again)
             return
         self._counts[outcome] += 1
         self._counts["over"] += 1
         if outcome == "failed" and request.repeats:
             self._counts["over"] -= 1
-            repeat = _Request(request.fingerprint, guilty=False, repeats=request.repeats - 1)
+            repeat = _Request(request.fingerprint, is_culprit=False, repeats=request.repeats - 1)
             self._schedule_in(self._random.uniform(50, 500), partial(self._submit, repeat))
 
     # engines
@@ -310,14 +310,14 @@
     def _terminate(self, key: EndpointLife, *, together: bool) -> None:
         self.ended_ms.append(self._now_ms)
         sends = list(self._engines.pop(key).values())
-        self._schedule_in(self._options.back_ms, self._start_engine)
+        self._schedule_in(self._options.restart_ms, self._start_engine)
         by_router: dict[int, list[_Send]] = {}
         for send in sends:
             by_router.setdefault(send.router, []).append(send)
         for router, own in by_router.items():
-            seen_ms = self._random.uniform(0.0, self._options.seen_ms)
+            detection_ms = self._random.uniform(0.0, self._options.max_detection_ms)
             self._schedule_in(
-                seen_ms, partial(self._detect_termination, router, key, own, together)
+                detection_ms, partial(self._detect_termination, router, key, own, together)
             )
 
     def _detect_termination(
@@ -334,7 +334,7 @@
         self._publish(router, Evidence([end], [], []))
         for send in sends:
             self._release(key, send)
-            self._counts["cut"] += not send.request.guilty
+            self._counts["cut"] += not send.request.is_culprit
             if send.request.sends < MAX_SENDS:
                 self._schedule_in(RESEND_MS, partial(self._send, send.request, router))
             else:
--- a/packages/bench/src/tamarack_bench/quarantine_scenarios.py
+++ b/packages/bench/src/tamarack_bench/quarantine_scenarios.py
@@ -23,8 +23,8 @@
     """Simulate two culprits with and without the quarantine, five culprits, and mass failures."""
     unprotected = _simulate(options, ModelOptions(), watching=False)
     two = _simulate(options, ModelOptions())
-    five = _simulate(options, ModelOptions(guilty=5))
-    mass = ModelOptions(guilty=0, failures_ms=(5e3, 8e3, 11e3, 14e3, 17e3), seconds=25.0)
+    five = _simulate(options, ModelOptions(culprits=5))
+    mass = ModelOptions(culprits=0, failures_ms=(5e3, 8e3, 11e3, 14e3, 17e3), seconds=25.0)
     failures = _simulate(options, mass)
     figures = {
         "ends_without": _mean([result.ends for result in unprotected]),
@@ -32,7 +32,7 @@
         "ends_five_guilty": _mean([result.ends for result in five]),
         "cut_without": _mean([result.cut for result in unprotected]),
         "cut_two_guilty": _mean([result.cut for result in two]),
-        "late_most": float(max(max(result.late) for result in two + five)),
+        "late_most": float(max(max(result.late_arrivals) for result in two + five)),
         "quarantined_innocents_two_guilty": _mean([result.quarantined for result in two]),
         "quarantined_innocents_five_guilty": _mean([result.quarantined for result in five]),
         "quarantined_innocents_mass_failures": _mean([result.quarantined for result in failures]),
--- a/packages/bench/src/tamarack_bench/soak.py
+++ b/packages/bench/src/tamarack_bench/soak.py
@@ -9,8 +9,8 @@
 from collections import Counter
 from collections.abc import Callable
 
-from tamarack_bench.accounts import doubled_runs, judge
-from tamarack_bench.fleet_run import LoadedFleet, loaded_fleet, settle
+from tamarack_bench.accounts import check_promises, doubled_runs
+from tamarack_bench.fleet_run import LoadedFleet, finish_load, loaded_fleet
 from tamarack_bench.load import CallerPlan
 from tamarack_bench.scenarios import Options, Reading, scenario
 from tamarack_standins.deployments import DEPLOYMENTS, Deployment
@@ -192,28 +192,28 @@
         for endpoint in loaded.fleet.endpoints:
             loaded.fleet.set_faults(endpoint["address"], [])
         time.sleep(SETTLE_S)
-        account = settle(loaded)
-    verdict = judge(account.results, account.all_runs)
-    for run in doubled_runs(account.all_runs):
+        summary = finish_load(loaded)
+    promises = check_promises(summary.results, summary.all_runs)
+    for run in doubled_runs(summary.all_runs):
         print(f"doubled: {run}", flush=True)
     for line in failed:
         print(f"fault not carried out: {line}", flush=True)
-    total = len(account.results)
+    total = len(summary.results)
     figures = {
         "requests": float(total),
         "faults": float(sum(injected.values())),
         "faults_not_carried_out": float(len(failed)),
-        "answered": float(verdict.answered),
-        "refused": float(verdict.refused),
-        "unknown_per_thousand": verdict.unknown / max(1, total) * 1000,
-        "lost": float(verdict.lost),
-        "doubled": float(verdict.doubled),
-        "mixed": float(verdict.mixed),
-        "false_refusals": float(verdict.false_refusals),
+        "answered": float(promises.answered),
+        "refused": float(promises.refused),
+        "unknown_per_thousand": promises.unknown / max(1, total) * 1000,
+        "lost": float(promises.lost),
+        "doubled": float(promises.doubled),
+        "mixed": float(promises.mixed),
+        "false_refusals": float(promises.false_refusals),
     }
-    causes = Counter(r.code for r in account.results if r.outcome == "unknown")
+    causes = Counter(r.code for r in summary.results if r.outcome == "unknown")
     figures.update({f"unknown_{code}": float(n) for code, n in causes.items()})
-    refusals = Counter(r.code for r in account.results if r.outcome == "not-run")
+    refusals = Counter(r.code for r in summary.results if r.outcome == "not-run")
     figures.update({f"refused_{code}": float(n) for code, n in refusals.items()})
     figures.update({f"fault_{name.replace(' ', '_')}": float(n) for name, n in injected.items()})
     return Reading("soak", figures)
--- a/packages/standins/src/tamarack_standins/fault_proxy.py
+++ b/packages/standins/src/tamarack_standins/fault_proxy.py
@@ -35,7 +35,7 @@
         Where to connect in place of the target.
     delay_s
         Delay added to each chunk, in seconds.
-    cut_there, cut_back
+    block_to_target, block_from_target
         Whether traffic to the target, or from it, is blocked; blocked bytes are delivered after
         `heal`.
     """
@@ -47,8 +47,8 @@
         self._server: asyncio.Server | None = None
         self.address = ""
         self.delay_s = 0.0
-        self.cut_there = False
-        self.cut_back = False
+        self.block_to_target = False
+        self.block_from_target = False
 
     async def __aenter__(self) -> FaultProxy:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -68,7 +68,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def silence_open(self) -> None:
+    def block_open(self) -> None:
         """Block the connections that are open now permanently; new ones work."""
         for pair in self._pairs:
             pair.silent = True
@@ -81,7 +81,7 @@
 
     def heal(self) -> None:
         """Remove the delay and the cuts; connections that were silenced stay blocked."""
-        self.delay_s, self.cut_there, self.cut_back = 0.0, False, False
+        self.delay_s, self.block_to_target, self.block_from_target = 0.0, False, False
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
@@ -119,7 +119,9 @@
             while data := await reader.read(READ_BYTES):
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                while pair.silent or (self.cut_there if to_target else self.cut_back):
+                while pair.silent or (
+                    self.block_to_target if to_target else self.block_from_target
+                ):
                     await asyncio.sleep(POLL_INTERVAL_S)
                 writer.write(data)
                 await writer.drain()
--- a/packages/standins/src/tamarack_standins/fleet.py
+++ b/packages/standins/src/tamarack_standins/fleet.py
@@ -212,7 +212,7 @@
     def silence_peers(self) -> None:
         """Block all open connections between routers permanently; new ones work."""
         for forwarder in self._peer_forwarders.values():
-            forwarder.silence_open()
+            forwarder.block_open()
 
     def heal(self) -> None:
         """Lift all blocks; connections that were silenced stay blocked."""
--- a/packages/standins/src/tamarack_standins/forwarder.py
+++ b/packages/standins/src/tamarack_standins/forwarder.py
@@ -82,7 +82,7 @@
         """Lift all blocks; connections that were silenced stay blocked."""
         self._blocked_sources.clear()
 
-    def silence_open(self) -> None:
+    def block_open(self) -> None:
         """Block the connections that are open now permanently; new ones work."""
         for connection in list(self._connections):
             connection.silent = True
--- a/packages/standins/src/tamarack_standins/platform_soak.py
+++ b/packages/standins/src/tamarack_standins/platform_soak.py
@@ -27,10 +27,15 @@
 
 from tamarack_standins.fault_proxy import FaultProxy
 from tamarack_standins.platform_store import PlatformStore
-from tamarack_standins.platform_worker import Arrived
+from tamarack_standins.platform_worker import ReceivedRequest
 from tamarack_standins.soak_callers import ANSWER_S, HOST, KINDS, STREAMS, SoakCalls
-from tamarack_standins.soak_ends import BACK_S, FATAL_REQUESTS, PAUSE_S, EndCounts
-from tamarack_standins.soak_routers import REVOKE_MS, SPELL_S, SoakRouters, disturb
+from tamarack_standins.soak_crashes import (
+    FATAL_INTERVAL_S,
+    FATAL_REQUESTS,
+    RESTART_DELAY_S,
+    CrashCounts,
+)
+from tamarack_standins.soak_routers import FAULT_PERIOD_S, REVOKE_MS, SoakRouters, disturb
 from tamarack_standins.soak_worker import SoakWorker
 
 EXIT_TERMINATED = 143
@@ -81,7 +86,7 @@
         self._active_faults = 0
         self._last_fault_s = float("-inf")
         self._restarts: list[asyncio.Future[None]] = []
-        self.ends = EndCounts(self._fault_free_s)
+        self.ends = CrashCounts(self._fault_free_s)
         self.counts: Counter[str] = Counter()
         self.broken: list[str] = []
         self._calls = SoakCalls(self.random, self.counts, self.broken)
@@ -100,7 +105,7 @@
                     self._folder,
                     self._port,
                     self._store.address,
-                    draws=self.random,
+                    rng=self.random,
                     broken=self.broken.append,
                 )
             )
@@ -115,13 +120,13 @@
             await asyncio.gather(*self._restarts)
             self._check_promises()
 
-    def ran(self, arrived: Arrived, stream: bool) -> None:
+    def ran(self, received: ReceivedRequest, stream: bool) -> None:
         """Count a run of a request by a worker, and check that it was allowed."""
-        attempt = arrived.headers.get("x-attempt-id", "")
+        attempt = received.headers.get("x-attempt-id", "")
         self._runs[attempt] += 1
         sent = self._calls.sent.get(attempt)
         if sent is None:
-            description = f"{arrived.method} {arrived.target} {arrived.headers}"
+            description = f"{received.method} {received.target} {received.headers}"
             self.broken.append(f"{attempt} runs and no caller sent it: {description}")
             return
         once = sent.path in ("/page/", "/rewrite/")
@@ -130,11 +135,11 @@
         revoked_s = self._revoked.get(sent.key) if stream else None
         if revoked_s is not None and sent.sent_s > revoked_s + REVOKE_MS / 1000:
             self.broken.append(f"{attempt} runs under a revoked key")
-        if not arrived.target.startswith(sent.path):
-            self.broken.append(f"{attempt} runs at {arrived.target}")
+        if not received.target.startswith(sent.path):
+            self.broken.append(f"{attempt} runs at {received.target}")
 
     def _check_promises(self) -> None:
-        for attempt in self._calls.promised:
+        for attempt in self._calls.answered_not_run:
             if self._runs[attempt]:
                 self.broken.append(f"{attempt} was refused as not run and ran")
         if not self.counts["200"]:
@@ -171,7 +176,7 @@
         self._worker_count += 1
         streams = service == "pool"
         worker = SoakWorker(
-            f"i-{self._worker_count}", streams=streams, draws=self.random, ran=self.ran
+            f"i-{self._worker_count}", streams=streams, rng=self.random, ran=self.ran
         )
         await self._start_worker(worker)
         link = await self._stack.enter_async_context(FaultProxy(worker.address))
@@ -196,10 +201,10 @@
         self._restarts.append(asyncio.ensure_future(self._restart_crashed(worker)))
 
     async def _restart_crashed(self, ended: SoakWorker) -> None:
-        await asyncio.sleep(self._restart_random.uniform(*BACK_S))
+        await asyncio.sleep(self._restart_random.uniform(*RESTART_DELAY_S))
         for index, (service, worker, link) in enumerate(self._workers):
             if worker is ended:
-                restarted = ended.next_life()
+                restarted = ended.next_incarnation()
                 self._workers[index] = (service, restarted, link)
                 await self._start_worker(restarted)
                 await self._publish(service, restarted, link)
@@ -208,7 +213,7 @@
     async def _send_fatal(self) -> None:
         number = 0
         while not self._stopping:
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(FATAL_INTERVAL_S)
             number += 1
             request = FATAL_REQUESTS[number % len(FATAL_REQUESTS)]
             address = self._routers.address(number % self._count)
@@ -250,10 +255,10 @@
         await asyncio.gather(*running)
 
     async def _wait_fault_period(self) -> None:
-        await asyncio.sleep(self.random.uniform(*SPELL_S))
+        await asyncio.sleep(self.random.uniform(*FAULT_PERIOD_S))
 
     async def _disturb_store(self) -> None:
-        mode = self.random.choice(("silent", "refusing", "losing_writes"))
+        mode = self.random.choice(("silent", "refusing", "dropping_write_answers"))
         setattr(self._store, mode, 503 if mode == "refusing" else True)
         await self._wait_fault_period()
         setattr(self._store, mode, 0 if mode == "refusing" else False)
@@ -263,9 +268,9 @@
 
     async def _spoil_worker(self) -> None:
         worker = self.random.choice(self._workers)[1]
-        worker.bad_part = self.random.uniform(0.1, 0.8)
+        worker.failure_probability = self.random.uniform(0.1, 0.8)
         await self._wait_fault_period()
-        worker.bad_part = 0.0
+        worker.failure_probability = 0.0
 
     async def _replace_worker(self) -> None:
         service, worker, link = self._workers.pop(self.random.randrange(len(self._workers)))
@@ -280,7 +285,7 @@
         service, old, link = self._workers.pop(self.random.randrange(len(self._workers)))
         await old.end()
         await asyncio.sleep(self.random.uniform(0.0, 0.3))
-        worker = old.next_life()
+        worker = old.next_incarnation()
         await self._start_worker(worker)
         self._workers.append((service, worker, link))
         await self._publish(service, worker, link)
--- a/packages/standins/src/tamarack_standins/platform_store.py
+++ b/packages/standins/src/tamarack_standins/platform_store.py
@@ -27,9 +27,9 @@
         Status with which all calls are rejected; zero to serve.
     silent
         Whether calls are accepted and never answered.
-    losing_writes
+    dropping_write_answers
         Whether writes are applied and not answered.
-    late_s
+    apply_delay_s
         If not zero, writes are not answered, and are applied after this many seconds if their
         condition still holds.
     """
@@ -43,8 +43,8 @@
         self.address = ""
         self.refusing = 0
         self.silent = False
-        self.losing_writes = False
-        self.late_s = 0.0
+        self.dropping_write_answers = False
+        self.apply_delay_s = 0.0
         self.calls: list[str] = []
 
     async def __aenter__(self) -> PlatformStore:
@@ -142,15 +142,15 @@
         if failed is not None:
             return failed
         call = await request.json()
-        if self.late_s:
-            await self._abort_and_wait(request, self.late_s)
+        if self.apply_delay_s:
+            await self._abort_and_wait(request, self.apply_delay_s)
         if not self._holds(call):
             return web.json_response({"rows": [], "ver": self._version}, status=412)
         for row in call.get("puts", []):
             await self._change(row["table"], row["key"], base64.b64decode(row["value"]))
         for row in call.get("remove", []):
             await self._change(row["table"], row["key"], None)
-        if self.losing_writes:
+        if self.dropping_write_answers:
             await self._abort_and_wait(request, 0.0)
         return web.json_response({"ver": self._version, "nowMs": 0})
 
--- a/packages/standins/src/tamarack_standins/platform_worker.py
+++ b/packages/standins/src/tamarack_standins/platform_worker.py
@@ -77,7 +77,7 @@
 """Script of a request that crashes the worker, 10 ms after its arrival."""
 
 
-class Arrived(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """A request as received by the worker."""
 
     method: str
@@ -100,7 +100,7 @@
 
     Attributes
     ----------
-    kept
+    cached_blocks
         Prefix blocks that it reports as cached: id, and size in tokens.
     born
         Start of its incarnation in milliseconds since the Unix epoch; another value under the same
@@ -120,10 +120,10 @@
         self.address = ""
         self.born = born
         self._port = port
-        self.arrived: list[Arrived] = []
+        self.received: list[ReceivedRequest] = []
         self.closed_early = 0
         self.connections = 0
-        self.kept: list[tuple[str, int]] = []
+        self.cached_blocks: list[tuple[str, int]] = []
         self.answering = asyncio.Event()
         self.answering.set()
         self.fatal: frozenset[bytes] = frozenset()
@@ -203,27 +203,27 @@
             head = await reader.readuntil(b"\r\n\r\n")
         except asyncio.IncompleteReadError:
             return False
-        arrived = _request(head)
-        if arrived.target == "/api/kv-list":
+        received = _request(head)
+        if received.target == "/api/kv-list":
             self._write_cached(writer)
             return True
         early = self._scripts[0].early and len(self._scripts) == 1
         if early:
-            await self._answer(self._scripts[0], arrived, writer)
-        length = int(arrived.headers.get("content-length", "0"))
-        arrived = arrived._replace(body=await reader.readexactly(length))
+            await self._answer(self._scripts[0], received, writer)
+        length = int(received.headers.get("content-length", "0"))
+        received = received._replace(body=await reader.readexactly(length))
         if early:
-            self.arrived.append(arrived)
+            self.received.append(received)
             return True
-        if arrived.headers.get("x-target-instance") not in (None, self.name):
+        if received.headers.get("x-target-instance") not in (None, self.name):
             writer.write(b"HTTP/1.1 421 Misdirected Request\r\ncontent-length: 0\r\n\r\n")
             return True
-        self.arrived.append(arrived)
-        if arrived.body in self.fatal:
-            self.on_fatal(arrived.body)
+        self.received.append(received)
+        if received.body in self.fatal:
+            self.on_fatal(received.body)
             script = FATAL
         else:
-            script = self._next_script(arrived)
+            script = self._next_script(received)
         await self.answering.wait()
         if script.silent:
             await self._until_closed(reader)
@@ -237,16 +237,16 @@
             _reset(writer)
             return False
         if script.events is not None:
-            return await self._stream(script, arrived, writer)
-        return await self._answer(script, arrived, writer)
+            return await self._stream(script, received, writer)
+        return await self._answer(script, received, writer)
 
     def _write_cached(self, writer: asyncio.StreamWriter) -> None:
-        held = [["", part, tokens, "m"] for part, tokens in self.kept]
+        held = [["", part, tokens, "m"] for part, tokens in self.cached_blocks]
         listing = {"epoch": 1, "next": 1, "held": held, "born": self.born}
         body = json.dumps(listing).encode()
         writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%s" % (len(body), body))
 
-    def _next_script(self, arrived: Arrived) -> Script:
+    def _next_script(self, received: ReceivedRequest) -> Script:
         """The script for a request; a subclass may choose by the request."""
         return self._scripts.pop(0) if len(self._scripts) > 1 else self._scripts[0]
 
@@ -255,9 +255,11 @@
             await reader.read(1)
         self.closed_early += 1
 
-    async def _answer(self, script: Script, arrived: Arrived, writer: asyncio.StreamWriter) -> bool:
-        lines = self._head(script, arrived)
-        body = _body(script, arrived)
+    async def _answer(
+        self, script: Script, received: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> bool:
+        lines = self._head(script, received)
+        body = _body(script, received)
         if not script.unframed:
             lines.append(f"content-length: {len(body)}")
         body = body[:-1] if script.truncated else body
@@ -268,15 +270,17 @@
             _reset(writer)
         return not (script.unframed or script.truncated)
 
-    async def _stream(self, script: Script, arrived: Arrived, writer: asyncio.StreamWriter) -> bool:
-        lines = self._head(script, arrived)
+    async def _stream(
+        self, script: Script, received: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> bool:
+        lines = self._head(script, received)
         lines += ["content-type: text/event-stream", "transfer-encoding: chunked"]
         writer.write("\r\n".join([*lines, "", ""]).encode())
-        first = int(arrived.headers.get("last-event-id", "0")) + 1
+        first = int(received.headers.get("last-event-id", "0")) + 1
         for number in range(first, (script.events or 0) + 1):
             if script.event_pause_s:
                 await asyncio.sleep(script.event_pause_s)
-            event = b"id: %d\ndata: %s\n\n" % (number, _body(script, arrived))
+            event = b"id: %d\ndata: %s\n\n" % (number, _body(script, received))
             if script.cut_after is not None and number > script.cut_after:
                 writer.write(_chunk(event[:-5]))
                 await writer.drain()
@@ -289,8 +293,8 @@
         await writer.drain()
         return True
 
-    def _head(self, script: Script, arrived: Arrived) -> list[str]:
-        attempt = script.attempt or arrived.headers.get("x-attempt-id", "")
+    def _head(self, script: Script, received: ReceivedRequest) -> list[str]:
+        attempt = script.attempt or received.headers.get("x-attempt-id", "")
         lines = [f"HTTP/1.1 {script.status} Status", f"X-Attempt-Id: {attempt}"]
         if script.signed and not script.not_run:
             lines.append(f"X-Server-Stamp: {SIGNATURE}.{self.name}")
@@ -299,7 +303,7 @@
         return lines
 
 
-def _request(head: bytes) -> Arrived:
+def _request(head: bytes) -> ReceivedRequest:
     lines = head.decode("latin-1").split("\r\n")
     method, target, _ = lines[0].split(" ")
     headers = {}
@@ -307,11 +311,11 @@
         name, separator, value = line.partition(":")
         if separator:
             headers[name.lower()] = value.strip()
-    return Arrived(method, target, headers, b"")
+    return ReceivedRequest(method, target, headers, b"")
 
 
-def _body(script: Script, arrived: Arrived) -> bytes:
-    return arrived.headers.get("x-attempt-id", "").encode() if script.echo else script.body
+def _body(script: Script, received: ReceivedRequest) -> bytes:
+    return received.headers.get("x-attempt-id", "").encode() if script.echo else script.body
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
--- a/packages/standins/src/tamarack_standins/soak_callers.py
+++ b/packages/standins/src/tamarack_standins/soak_callers.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from tamarack_standins.soak_ends import FATAL_BODIES
+from tamarack_standins.soak_crashes import FATAL_BODIES
 
 HOST = "soak.example"
 ANSWER_S = 8.0
@@ -38,16 +38,16 @@
     ----------
     sent
         All requests by attempt id.
-    promised
+    answered_not_run
         Ids of attempts whose answer states that they did not run.
     """
 
-    def __init__(self, draws: random.Random, counts: Counter[str], broken: list[str]) -> None:
-        self._random = draws
+    def __init__(self, rng: random.Random, counts: Counter[str], broken: list[str]) -> None:
+        self._random = rng
         self._counts = counts
         self._broken = broken
         self.sent: dict[str, Sent] = {}
-        self.promised: set[str] = set()
+        self.answered_not_run: set[str] = set()
 
     async def call(self, path: str, key: str, address: str, body: bytes) -> None:
         """Send a request to a router and check the answer."""
@@ -73,7 +73,7 @@
         status = int(head.split(" ")[1])
         self._counts[str(status)] += 1
         if status in NOT_RUN_STATUSES:
-            self.promised.add(attempt)
+            self.answered_not_run.add(attempt)
         if "content-type: text/plain" in head and sent not in FATAL_BODIES:
             self._counts["others quarantined"] += 1
         if status != 200:
--- a/packages/standins/src/tamarack_standins/soak_routers.py
+++ b/packages/standins/src/tamarack_standins/soak_routers.py
@@ -17,7 +17,7 @@
 
 GRACE_S = 6.0
 REVOKE_MS = 3_000.0
-SPELL_S = (0.3, 2.5)
+FAULT_PERIOD_S = (0.3, 2.5)
 """Range of the duration of a pause or another lasting fault, in seconds."""
 
 ROLL_INTERVAL_S = (0.0, 1.0)
@@ -51,13 +51,13 @@
         port: int,
         store: str,
         *,
-        draws: random.Random,
+        rng: random.Random,
         broken: Callable[[str], None],
     ) -> None:
         self._count = count
         self._folder = folder
         self._port = port
-        self._random = draws
+        self._random = rng
         self._broken = broken
         self._processes: dict[int, asyncio.subprocess.Process] = {}
         self._log_bytes: dict[int, int] = {}
@@ -214,7 +214,7 @@
         return self._random.choice(alive) if alive else None
 
     async def _wait_fault_period(self) -> None:
-        await asyncio.sleep(self._random.uniform(*SPELL_S))
+        await asyncio.sleep(self._random.uniform(*FAULT_PERIOD_S))
 
 
 def send_signal(process: asyncio.subprocess.Process, number: signal.Signals) -> None:
@@ -228,18 +228,18 @@
             os.kill(process.pid, number)
 
 
-async def disturb(link: FaultProxy, draws: random.Random) -> None:
+async def disturb(link: FaultProxy, rng: random.Random) -> None:
     """Inject a random fault into a link, and heal the link after a while."""
-    mode = draws.choice(("delay", "reset", "silence", "cut there", "cut back"))
+    mode = rng.choice(("delay", "reset", "silence", "cut there", "cut back"))
     if mode == "delay":
-        link.delay_s = draws.uniform(0.02, 0.4)
+        link.delay_s = rng.uniform(0.02, 0.4)
     elif mode == "reset":
         link.reset_open()
     elif mode == "silence":
-        link.silence_open()
+        link.block_open()
     elif mode == "cut there":
-        link.cut_there = True
+        link.block_to_target = True
     else:
-        link.cut_back = True
-    await asyncio.sleep(draws.uniform(*SPELL_S))
+        link.block_from_target = True
+    await asyncio.sleep(rng.uniform(*FAULT_PERIOD_S))
     link.heal()
--- a/packages/standins/src/tamarack_standins/soak_worker.py
+++ b/packages/standins/src/tamarack_standins/soak_worker.py
@@ -5,8 +5,8 @@
 import random
 from collections.abc import Callable
 
-from tamarack_standins.platform_worker import BORN_MS, Arrived, PlatformWorker, Script
-from tamarack_standins.soak_ends import FATAL_BODIES
+from tamarack_standins.platform_worker import BORN_MS, PlatformWorker, ReceivedRequest, Script
+from tamarack_standins.soak_crashes import FATAL_BODIES
 
 INCARNATION_STEP_MS = 1_000
 """Milliseconds between the start times of two incarnations of a worker."""
@@ -19,7 +19,7 @@
     ----------
     streams
         Whether its answers are streams.
-    draws
+    rng
         Random source of its answers.
     ran
         Called with each request that it runs, and whether the answer is a stream.
@@ -28,7 +28,7 @@
 
     Attributes
     ----------
-    bad_part
+    failure_probability
         Probability that a request fails.
     """
 
@@ -37,39 +37,39 @@
         name: str,
         *,
         streams: bool,
-        draws: random.Random,
-        ran: Callable[[Arrived, bool], None],
+        rng: random.Random,
+        ran: Callable[[ReceivedRequest, bool], None],
         life: int = BORN_MS,
         port: int = 0,
     ) -> None:
         super().__init__(name, born=life, port=port)
         self._life = life
         self._streams = streams
-        self._draws = draws
+        self._rng = rng
         self._ran = ran
-        self.bad_part = 0.0
+        self.failure_probability = 0.0
         self.fatal = FATAL_BODIES
 
-    def next_life(self) -> SoakWorker:
+    def next_incarnation(self) -> SoakWorker:
         """The next incarnation of this worker, with the same name and address."""
         port = int(self.address.rpartition(":")[2])
         return SoakWorker(
             self.name,
             streams=self._streams,
-            draws=self._draws,
+            rng=self._rng,
             ran=self._ran,
             life=self._life + INCARNATION_STEP_MS,
             port=port,
         )
 
-    def _next_script(self, arrived: Arrived) -> Script:
-        draw = self._draws
-        events = draw.randint(1, 8) if self._streams else None
-        good = Script(echo=True, events=events, pause_s=draw.random() * 0.02)
-        if draw.random() >= self.bad_part:
-            self._ran(arrived, self._streams)
+    def _next_script(self, received: ReceivedRequest) -> Script:
+        rng = self._rng
+        events = rng.randint(1, 8) if self._streams else None
+        good = Script(echo=True, events=events, pause_s=rng.random() * 0.02)
+        if rng.random() >= self.failure_probability:
+            self._ran(received, self._streams)
             return good
-        bad = draw.choice(
+        bad = rng.choice(
             (
                 good._replace(status=503, not_run=True, events=None),
                 good._replace(status=500, events=None),
@@ -83,5 +83,5 @@
             )
         )
         if not bad.not_run:
-            self._ran(arrived, self._streams)
+            self._ran(received, self._streams)
         return bad
--- a/tests/test_cache_inventory.py
+++ b/tests/test_cache_inventory.py
@@ -24,7 +24,7 @@
     async def scenario() -> None:
         workers = [PlatformWorker(name, STREAM) for name in ("w1", "w2", "w3")]
         parts = [f"s{number}" for number in range(8)]
-        workers[1].kept = [(part, 12_000) for part in parts]
+        workers[1].cached_blocks = [(part, 12_000) for part in parts]
         async with Fleet({"pool": workers}) as fleet:
             await until(lambda: is_cached(fleet, workers[1], parts[-1]))
             for part in parts:
@@ -34,7 +34,7 @@
                     X_Prompt_Prefix=f"{part}:12000,own-{part}:3000",
                 )
                 assert answer.status == 200
-            assert [len(worker.arrived) for worker in workers] == [0, len(parts), 0]
+            assert [len(worker.received) for worker in workers] == [0, len(parts), 0]
 
     play(scenario())
 
--- a/tests/test_callers_who_left.py
+++ b/tests/test_callers_who_left.py
@@ -62,12 +62,12 @@
             router = fleet.gateway
             kept = await connect_socket(router)
             kept.sendall(fleet.request("/page/kept"))
-            await until(lambda: len(web.arrived) == 1 and not next(iter(router._connections)).busy)
+            await until(lambda: len(web.received) == 1 and not next(iter(router._connections)).busy)
             callers = [kept, *[await connect_socket(router) for _ in range(5)]]
             send_and_close([(caller, fleet.request("/page/left")) for caller in callers])
             await until_all_closed(router)
             assert (await fleet.ask("/page/stays")).status == 200
-            assert [a.target for a in web.arrived] == ["/page/kept", "/page/stays"]
+            assert [a.target for a in web.received] == ["/page/kept", "/page/stays"]
 
     play(run())
 
@@ -98,7 +98,7 @@
             caller.sendall(fleet.request("/draft/2"))
             await until_all_closed(fleet.gateway)
             assert (await fleet.ask("/draft/3")).status == 200
-            assert [a.target for a in engine.arrived] == ["/draft/1", "/draft/3"]
+            assert [a.target for a in engine.received] == ["/draft/1", "/draft/3"]
 
     play(run())
 
@@ -116,13 +116,13 @@
         workers = [PlatformWorker(name) for name in ("w1", "w2")]
         async with Fleet({"web": workers}) as fleet:
             records = fleet.gateway.state.records
-            while not all(worker.arrived for worker in workers):
+            while not all(worker.received for worker in workers):
                 assert (await fleet.ask("/page/1")).status == 200
                 for worker in workers:
-                    slow_ms = 10_000.0 * len(worker.arrived)
+                    slow_ms = 10_000.0 * len(worker.received)
                     records[worker.name].succeeded(0.0, slow_ms)
             for worker in workers:
-                worker.arrived.clear()
+                worker.received.clear()
                 worker._scripts = [Script(status=500)]
             caller = await connect_socket(fleet.gateway)
             failure = SendNotes.failure
@@ -136,7 +136,7 @@
             caller.sendall(fleet.request("/search/1"))
             await until_all_closed(fleet.gateway)
             await asyncio.sleep(DELIVERED_S)
-            assert sum(len(worker.arrived) for worker in workers) == 1
+            assert sum(len(worker.received) for worker in workers) == 1
 
     play(run())
 
@@ -222,7 +222,7 @@
                     assert "connection" not in answer.headers
                     assert 0 < float(answer.headers["retry-after"]) < 0.5
                 writer.close()
-            assert not web.arrived
+            assert not web.received
 
     play(run())
 
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -223,7 +223,7 @@
             engine.answering.set()
             assert [(await answer).status for answer in taken] == [200, 200]
             await until(lambda: router._watch.running == 0)
-            assert len(engine.arrived) == 2
+            assert len(engine.received) == 2
             writer.write(fleet.request("/draft/4"))
             assert (await read_answer(reader)).status == 200
             writer.close()
--- a/tests/test_end_witness.py
+++ b/tests/test_end_witness.py
@@ -118,7 +118,7 @@
             entry = await list_behind(fleet, engine, link)
             engine.answering.clear()
             asked = asyncio.ensure_future(fleet.try_ask("/rewrite/x", body=b"there"))
-            await until(lambda: len(engine.arrived) == 1)
+            await until(lambda: len(engine.received) == 1)
             link.reset_open()
             await asked
             assert suspects(fleet) == 0
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -194,10 +194,10 @@
         second.answering.clear()
         async with Fleet({"web": [first]}) as fleet, second:
             old = asyncio.ensure_future(fleet.ask("/page/1"))
-            await until(lambda: len(first.arrived) == 1)
+            await until(lambda: len(first.received) == 1)
             await restart(fleet, second, "web")
             new = asyncio.ensure_future(fleet.ask("/page/2"))
-            await until(lambda: len(second.arrived) == 1)
+            await until(lambda: len(second.received) == 1)
             first.answering.set()
             assert (await old).status == 502
             record = fleet.gateway.state.records["w1"]
@@ -220,7 +220,7 @@
         async with Fleet({"web": [worker]}) as fleet, FaultProxy(worker.address) as link:
             await restart(fleet, worker, "web", address=link.address)
             assert (await fleet.ask("/page/1")).status == 200
-            link.silence_open()
+            link.block_open()
             born = {"born": NEXT_BORN_MS + 1, "address": link.address}
             await fleet.store.put("servers", "w1", {**worker.entry("web"), **born})
             await until(lambda: incarnation_of(fleet.gateway.state, "w1") == NEXT_BORN_MS + 1)
@@ -239,7 +239,7 @@
 
     async def run() -> None:
         other, same = PlatformWorker("e1", STREAM), PlatformWorker("e2", STREAM)
-        other.kept = same.kept = [("aa", 200)]
+        other.cached_blocks = same.cached_blocks = [("aa", 200)]
         async with Fleet({"pool": [other, same]}) as fleet:
             other.born = NEXT_BORN_MS
             async with fleet.router("router-2") as router:
@@ -268,7 +268,7 @@
     """Send a request to the first incarnation, and break it off once the second is known."""
     async with Fleet({service: [first]}) as fleet, second:
         answer = asyncio.ensure_future(fleet.ask(path))
-        await until(lambda: len(first.arrived) == 1)
+        await until(lambda: len(first.received) == 1)
         await restart(fleet, second, service)
         first.answering.set()
         return await answer
@@ -293,7 +293,7 @@
     async def run() -> None:
         with incarnations(script) as (first, second):
             assert (await ask_during_restart(path, service, first, second)).status == 502
-            assert len(second.arrived) == 0
+            assert len(second.received) == 0
 
     play(run())
 
@@ -303,7 +303,7 @@
         with incarnations(Script(events=5, cut_after=2)) as (first, second):
             answer = await ask_during_restart("/rewrite/1", "pool", first, second)
             assert (answer.status, answer.whole) == (200, False)
-            assert len(second.arrived) == 0
+            assert len(second.received) == 0
 
     play(run())
 
@@ -318,7 +318,7 @@
     async def run() -> None:
         with incarnations(Script(reset=True)) as (first, second):
             assert (await ask_during_restart("/search/1", "web", first, second)).status == 200
-            assert len(second.arrived) == 1
+            assert len(second.received) == 1
 
     play(run())
 
@@ -331,7 +331,7 @@
             assert [line for line in answer.body.decode().split("\n") if line[:2] == "id"] == [
                 f"id: {number}" for number in range(1, 6)
             ]
-            assert second.arrived[0].headers["last-event-id"] == "2"
+            assert second.received[0].headers["last-event-id"] == "2"
 
     play(run())
 
@@ -351,7 +351,7 @@
         async with Fleet({"later": [engine]}) as fleet:
             state = fleet.gateway.state
             assert (await fleet.ask("/draft/1")).status == 503
-            assert engine.arrived == []
+            assert engine.received == []
             value = configuration(2)
             value["routes"][2]["service"] = "later"
             value["services"].append({"name": "later", "engine": {"kvCapacityTokens": 100}})
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,7 +17,7 @@
 import pytest
 import urllib3
 
-from tamarack_bench.accounts import Verdict, judge
+from tamarack_bench.accounts import PromiseReport, check_promises
 from tamarack_bench.load import CallerPlan, Load, is_whole, read_stream
 from tamarack_client import AdminError, Client, OutcomeUnknownError, RefusedError
 from tamarack_standins.deployments import ADMIN_TOKEN, DEPLOYMENTS
@@ -559,9 +559,9 @@
             fleet.wait_ready([name])
     markers = {result.marker for result in load.results}
     runs = [run for run in fleet.runs() if run["marker"] in markers]
-    verdict = judge(load.results, runs)
-    assert verdict.answered > 0
-    assert verdict._replace(answered=0, refused=0) == Verdict(0, 0, 0, 0, 0, 0, 0)
+    promises = check_promises(load.results, runs)
+    assert promises.answered > 0
+    assert promises._replace(answered=0, refused=0) == PromiseReport(0, 0, 0, 0, 0, 0, 0)
 
 
 def test_all_routers_restarted_at_once_come_back_with_what_was_accepted(fleet: Fleet) -> None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -39,12 +39,12 @@
             assert (page.status, page.body) == (200, b"hello")
             assert draft.whole
             assert draft.body.count(b"id: ") == 5
-            arrived = pool.arrived[0].headers
-            assert web.arrived[0].target == "/page/1?q=2"
-            assert arrived["x-tenant"] == "shop"
-            assert arrived["x-target-instance"] == "e1"
-            assert "authorization" not in arrived
-            assert 0 < int(arrived["x-deadline-ms"]) <= 4000
+            received = pool.received[0].headers
+            assert web.received[0].target == "/page/1?q=2"
+            assert received["x-tenant"] == "shop"
+            assert received["x-target-instance"] == "e1"
+            assert "authorization" not in received
+            assert 0 < int(received["x-deadline-ms"]) <= 4000
 
     play(run())
 
@@ -59,8 +59,8 @@
         web = PlatformWorker("w1")
         async with Fleet({"web": [web]}) as fleet:
             await fleet.ask("/page/1", X_Tenant="other", X_Hold="h", Kv_From="1.2.3.4:5/x")
-            arrived = web.arrived[0].headers
-            assert not {"x-tenant", "x-hold", "kv-from"} & arrived.keys()
+            received = web.received[0].headers
+            assert not {"x-tenant", "x-hold", "kv-from"} & received.keys()
 
     play(run())
 
@@ -89,7 +89,7 @@
             raw = f"POST /page/1 HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: a\r\n{head}\r\n\r\nabc"
             answer = await fleet.send(raw.encode())
             assert answer.status == 400
-            assert not web.arrived
+            assert not web.received
 
     play(run())
 
@@ -132,7 +132,7 @@
         async with Fleet({"web": [web, other]}) as fleet:
             answer = await fleet.ask("/page/1")
             assert answer.status == 502
-            assert len(web.arrived) + len(other.arrived) == 1
+            assert len(web.received) + len(other.received) == 1
 
     play(run())
 
@@ -212,8 +212,8 @@
             bodies = [bytes([65 + number]) * 90_000 for number in range(4)]
             for body in bodies:
                 assert (await fleet.ask("/page/1", body=body)).status == 200
-            await until(lambda: len(web.arrived) == len(bodies))
-            assert [arrived.body for arrived in web.arrived] == bodies
+            await until(lambda: len(web.received) == len(bodies))
+            assert [received.body for received in web.received] == bodies
 
     play(run())
 
@@ -231,7 +231,7 @@
         async with Fleet({"web": silent}) as fleet:
             answer = await fleet.ask("/search/1", method="GET", body=b"")
             assert answer.status == 200
-            assert sum(len(worker.arrived) for worker in silent) == 2
+            assert sum(len(worker.received) for worker in silent) == 2
 
     play(run())
 
@@ -273,8 +273,8 @@
             ids = [line for line in answer.body.split(b"\n") if line.startswith(b"id: ")]
             assert answer.whole
             assert ids == [b"id: %d" % number for number in range(1, 6)]
-            arrived = [arrival for worker in workers for arrival in worker.arrived]
-            assert [a.headers.get("last-event-id") for a in arrived] in ([None, "2"], ["2", None])
+            received = [arrival for worker in workers for arrival in worker.received]
+            assert [a.headers.get("last-event-id") for a in received] in ([None, "2"], ["2", None])
 
     play(run())
 
@@ -286,7 +286,7 @@
             answer = await fleet.ask("/rewrite/1")
             assert not answer.whole
             assert answer.body.endswith(b"\n\n")
-            assert sum(len(worker.arrived) for worker in workers) == 1
+            assert sum(len(worker.received) for worker in workers) == 1
 
     play(run())
 
@@ -303,7 +303,7 @@
         async with Fleet({"pool": [pool]}) as fleet:
             _, writer = await connect(fleet.gateway.callers)
             writer.write(fleet.request("/rewrite/1"))
-            await until(lambda: bool(pool.arrived))
+            await until(lambda: bool(pool.received))
             writer.close()
             await until(lambda: pool.closed_early == 1)
 
@@ -376,7 +376,7 @@
             await until(lambda: len(fleet.gateway.state.usable("web")) == 1)
             for _ in range(6):
                 await fleet.ask("/page/1")
-            assert len(staying.arrived) == 6
+            assert len(staying.received) == 6
 
     play(run())
 
@@ -394,7 +394,7 @@
             await fleet.store.put("servers", "w1", stranger.entry("web"))
             await until(lambda: len(fleet.gateway.state.usable("web")) == 1)
             assert (await fleet.ask("/page/1")).status == 503
-            assert not stranger.arrived
+            assert not stranger.received
 
     play(run())
 
@@ -413,7 +413,7 @@
         }
         async with Fleet(workers) as fleet:
             running = asyncio.ensure_future(fleet.ask("/rewrite/1"))
-            await until(lambda: bool(workers["pool"][0].arrived))
+            await until(lambda: bool(workers["pool"][0].received))
             leaving = asyncio.ensure_future(fleet.gateway.leave())
             await until(lambda: fleet.gateway.state.leaving is not None)
             assert (await ready(fleet)).status == 503
@@ -424,7 +424,7 @@
             state.leaving = state.leaving._replace(linger_until_ms=state.clock.now_ms)
             refused = await fleet.ask("/page/1")
             assert (refused.status, "retry-after" in refused.headers) == (503, True)
-            assert len(workers["web"][0].arrived) == 1
+            assert len(workers["web"][0].received) == 1
             assert not leaving.done()
             running.cancel()
             await leaving
@@ -562,6 +562,6 @@
             await until(lambda: not fleet.gateway.state.usable("web"))
             gone.set()
             assert (await asked).status == 503
-            assert not worker.arrived
+            assert not worker.received
 
     play(run())
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -9,7 +9,7 @@
 from gateway_site import Fleet, connect, play, read_answer, until
 
 from tamarack_core.service_times import LEAST_READINGS
-from tamarack_standins.platform_worker import Arrived, PlatformWorker, Script
+from tamarack_standins.platform_worker import PlatformWorker, ReceivedRequest, Script
 
 TOKENS_PER_EVENT = 5
 """The `stride` of the service in the configuration of the fleet."""
@@ -24,11 +24,11 @@
         super().__init__(name)
         self.rejects = 0
 
-    def _next_script(self, arrived: Arrived) -> Script:
+    def _next_script(self, received: ReceivedRequest) -> Script:
         if self.rejects:
             self.rejects -= 1
             return Script(status=503, not_run=True, body=b"", pause_s=1.0)
-        tokens = int(arrived.headers["x-token-usage"].partition(",")[2])
+        tokens = int(received.headers["x-token-usage"].partition(",")[2])
         return Script(events=tokens // TOKENS_PER_EVENT, event_pause_s=EVENT_S)
 
 
@@ -60,7 +60,7 @@
         assert (answer.status, answer.whole) == (503, True)
         assert float(answer.headers["retry-after"]) < 0.5
         assert answer.headers["connection"] == "close"
-        assert len(engine.arrived) == LEAST_READINGS + 1
+        assert len(engine.received) == LEAST_READINGS + 1
 
     play(run())
 
@@ -81,7 +81,7 @@
             await until(lambda: fleet.gateway.state.leaving is not None)
             long = {"X_Token_Usage": "300,400", "X_Length_Hint": "120"}
             assert (await fleet.ask("/rewrite/2", **long)).status == 503
-            assert len(engine.arrived) == LEAST_READINGS
+            assert len(engine.received) == LEAST_READINGS
             await leaving
 
     play(run())
@@ -103,11 +103,11 @@
                 engine.rejects = 1
             sent = LEAST_READINGS + 1
             held = asyncio.ensure_future(fleet.ask("/draft/2", X_Token_Usage="300,300"))
-            await until(lambda: sum(len(engine.arrived) for engine in engines) == sent)
+            await until(lambda: sum(len(engine.received) for engine in engines) == sent)
             leaving = asyncio.ensure_future(fleet.gateway.leave())
             answer = await held
             assert (answer.status, answer.whole) == (503, True)
-            assert sum(len(engine.arrived) for engine in engines) == sent
+            assert sum(len(engine.received) for engine in engines) == sent
             await leaving
 
     play(run())
@@ -134,7 +134,7 @@
         async with Fleet({"pool": [engine]}, grace_ms=500.0) as fleet:
             reader, writer = await connect(fleet.gateway.callers)
             writer.write(fleet.request("/rewrite/1"))
-            await until(lambda: bool(engine.arrived))
+            await until(lambda: bool(engine.received))
             await fleet.gateway.leave()
             state = fleet.gateway.state
         answer = await read_answer(reader)
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -47,7 +47,7 @@
             fleet.router("router-2", store=link.address) as router,
         ):
             await until(lambda: router.state.ready)
-            link.silence_open()
+            link.block_open()
             await fleet.store.put("op", "config", configuration(7))
             await until(lambda: router.state.rules.version == 7)
 
@@ -75,7 +75,7 @@
                 lambda: [e.address for e in book.usable("web")] == [link.address],
             )
             assert (await fleet.ask("/search/1")).status == 200
-            link.silence_open()
+            link.block_open()
             other = PlatformWorker("w2")
             async with other:
                 await fleet.store.put("servers", "w2", other.entry("web"))
@@ -102,7 +102,7 @@
                 fleet.store.silent = True
                 clock.ahead_ms = 10_000.0
                 assert (await fleet.ask("/draft/2", at=router)).status == 503
-                assert len(worker.arrived) == 1
+                assert len(worker.received) == 1
                 assert (await fleet.ask("/page/1", at=router)).status == 200
 
     play(run())
@@ -121,9 +121,9 @@
             async with fleet.router("router-2") as router:
                 await until(lambda: router._feeds._own_version is not None)
                 first = rows("routers")["router-2"]
-                fleet.store.late_s = 0.6
+                fleet.store.apply_delay_s = 0.6
                 await router._feeds.leave()
-            fleet.store.late_s = 0.0
+            fleet.store.apply_delay_s = 0.0
             async with fleet.router("router-2") as router:
                 await until(lambda: rows("routers")["router-2"] != first)
                 second = rows("routers")["router-2"]
@@ -156,11 +156,11 @@
 
     async def run() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
-            fleet.store.losing_writes = True
+            fleet.store.dropping_write_answers = True
             async with fleet.router("router-2") as router:
                 await until(lambda: router.state.ready)
                 await until(lambda: fleet.store.calls.count("/api/rows-tx") >= 3)
-                fleet.store.losing_writes = False
+                fleet.store.dropping_write_answers = False
                 await until(lambda: "router-2" in fleet.store.rows("routers"))
                 assert (await fleet.ask("/draft/1", at=router)).status == 200
 
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -11,7 +11,7 @@
 import pytest
 import urllib3
 
-from tamarack_bench.accounts import judge
+from tamarack_bench.accounts import check_promises
 from tamarack_bench.load import CallerPlan, Load
 from tamarack_client import AdminClient, Client
 from tamarack_standins.deployments import ADMIN_TOKEN, DEPLOYMENTS
@@ -79,9 +79,9 @@
         wait_for(lambda: all(alive(fleet, router) == 3 for router in fleet.routers))
         before = len(load.results)
         wait_for(lambda: len(load.results) > before + 20)
-    verdict = judge(load.results, fleet.runs())
-    assert verdict.answered > 0
-    assert not verdict.broken
+    promises = check_promises(load.results, fleet.runs())
+    assert promises.answered > 0
+    assert not promises.broken
 
 
 def test_one_dispatcher_remains_after_a_partition(fleet: Fleet) -> None:
@@ -136,4 +136,4 @@
         before = len(load.results)
         wait_for(lambda: len(load.results) > before + 60)
         wait_for(lambda: all(alive(fleet, router) == 3 for router in fleet.routers))
-    assert not judge(load.results, fleet.runs()).broken
+    assert not check_promises(load.results, fleet.runs()).broken
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -49,7 +49,7 @@
 
     async def signal_router() -> int:
         routers = SoakRouters(
-            1, tmp_path, 9_000, "", draws=random.Random(1), broken=lambda reason: None
+            1, tmp_path, 9_000, "", rng=random.Random(1), broken=lambda reason: None
         )
         process = await asyncio.create_subprocess_exec(sys.executable, "-c", "input()", stdin=PIPE)
         routers._processes[0] = process
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -59,10 +59,11 @@
 
 @pytest.mark.parametrize("seed", range(1, 9))
 @pytest.mark.parametrize(
-    ("routers", "engines", "per_s", "told_ms"), [(6, 9, 140.0, 30.0), (195, 78, 400.0, 250.0)]
+    ("routers", "engines", "per_s", "message_latency_ms"),
+    [(6, 9, 140.0, 30.0), (195, 78, 400.0, 250.0)],
 )
 def test_two_culprits_are_quarantined_and_few_unrelated_requests(
-    routers: int, engines: int, per_s: float, told_ms: float, seed: int
+    routers: int, engines: int, per_s: float, message_latency_ms: float, seed: int
 ) -> None:
     """Failure: engines crash all day, or unrelated requests are refused permanently.
 
@@ -71,9 +72,14 @@
     if no evidence is kept, the second if every request that met three crashes is quarantined.
     """
     result = play(
-        routers=routers, engines=engines, per_s=per_s, told_ms=told_ms, seconds=20.0, seed=seed
+        routers=routers,
+        engines=engines,
+        per_s=per_s,
+        message_latency_ms=message_latency_ms,
+        seconds=20.0,
+        seed=seed,
     )
-    assert max(result.late) <= LATE_MOST
+    assert max(result.late_arrivals) <= LATE_MOST
     # Two culprits cost six crashes, three each; the others are those where both were present.
     assert result.ends <= 18
     assert result.quarantined <= 2
@@ -86,15 +92,15 @@
     Half of the engines crash five times in a row; callers retry at once and meet each of these
     crashes, which must not count like crashes caused by a request.
     """
-    result = play(guilty=0, failures_ms=MASS_MS, seconds=25.0, seed=seed)
+    result = play(culprits=0, failures_ms=MASS_MS, seconds=25.0, seed=seed)
     assert result.quarantined == 0
     assert result.served > 0.99
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
 def test_a_culprit_is_found_among_repeats_of_a_popular_request(seed: int) -> None:
-    result = play(guilty=1, hot_part=0.3, seconds=20.0, seed=seed)
-    assert max(result.late) <= LATE_MOST
+    result = play(culprits=1, hot_fraction=0.3, seconds=20.0, seed=seed)
+    assert max(result.late_arrivals) <= LATE_MOST
     assert result.quarantined == 0
 
 
@@ -106,7 +112,7 @@
     All routers are killed at once, and the quarantine is known only to them. Without the store's
     rows, as during an outage of the store, it costs three more endpoints.
     """
-    model = QuarantineModel(ModelOptions(guilty=1, seconds=30.0, seed=seed))
+    model = QuarantineModel(ModelOptions(culprits=1, seconds=30.0, seed=seed))
     crashes_before = []
 
     def replace() -> None:
@@ -116,15 +122,15 @@
 
     model.at(15_000.0, replace)
     result = model.run()
-    assert max(result.late) <= (0 if rows else LATE_MOST)
+    assert max(result.late_arrivals) <= (0 if rows else LATE_MOST)
     if rows:
         assert len(model.ended_ms) == crashes_before[0]
 
 
 def test_a_replaced_router_learns_the_quarantine_from_the_others() -> None:
-    model = QuarantineModel(ModelOptions(guilty=1, seconds=30.0))
+    model = QuarantineModel(ModelOptions(culprits=1, seconds=30.0))
     model.at(10_000.0, lambda: model.replace_router(0))
-    assert max(model.run().late) == 0
+    assert max(model.run().late_arrivals) == 0
 
 
 # step by step
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -243,7 +243,7 @@
             state = second.state
             await until(lambda: state.ready)
             await until(lambda: bool(fleet.gateway._members.known() and second._members.known()))
-            link.cut_back = True
+            link.block_from_target = True
             link.reset_open()
             others = [{"name": f"w{n}", "apiKeys": [f"{n:0>200}"]} for n in range(80)]
             tenants = [{"name": "shop", "apiKeys": ["key-two"]}, *others]
