--- a/bench/ablation/patches/away-from-home.sed
+++ b/bench/ablation/patches/away-from-home.sed
@@ -1,2 +1,2 @@
 #packages/core/src/tamarack_core/placement.py
-s/^AWAY_FROM_HOME_MS = 60.0$/AWAY_FROM_HOME_MS = 0.0/
+s/^NOT_PREFERRED_PENALTY_MS = 60.0$/NOT_PREFERRED_PENALTY_MS = 0.0/
--- a/bench/ablation/patches/concurrency-limit.sed
+++ b/bench/ablation/patches/concurrency-limit.sed
@@ -1,2 +1,2 @@
 #packages/core/src/tamarack_core/concurrency_limit.py
-s/if running < self._most:/if True:/
+s/if running < self._limit:/if True:/
--- a/bench/ablation/patches/first-events-told.sed
+++ b/bench/ablation/patches/first-events-told.sed
@@ -1,2 +1,2 @@
 #packages/core/src/tamarack_core/engine_model.py
-s/^SEEN_GAIN = 0.5$/SEEN_GAIN = 0.0/
+s/^PEER_GAIN = 0.5$/PEER_GAIN = 0.0/
--- a/bench/ablation/patches/free-engine-reads-anew.sed
+++ b/bench/ablation/patches/free-engine-reads-anew.sed
@@ -1,2 +1,2 @@
 #packages/core/src/tamarack_core/admitted_placement.py
-s/^    worth_reading = .*$/    worth_reading = False/
+s/^    worth_prefill = .*$/    worth_prefill = False/
--- a/bench/ablation/patches/holding.sed
+++ b/bench/ablation/patches/holding.sed
@@ -1,2 +1,2 @@
 #packages/core/src/tamarack_core/admission.py
-s/^HOLD_PART = 0.5$/HOLD_PART = -1000.0/
+s/^HOLD_FRACTION = 0.5$/HOLD_FRACTION = -1000.0/
--- a/bench/ablation/patches/home.sed
+++ b/bench/ablation/patches/home.sed
@@ -1,2 +1,2 @@
 #packages/core/src/tamarack_core/placement.py
-s/^    if anchor is None or any(models\[e.name\].keeps(anchor) for e in endpoints):$/    if True:/
+s/^    if anchor is None or any(models\[e.name\].caches(anchor) for e in endpoints):$/    if True:/
--- a/bench/ablation/patches/lead.sed
+++ b/bench/ablation/patches/lead.sed
@@ -1,2 +1,2 @@
 #packages/core/src/tamarack_core/admission.py
-s/^LEAD_POWER = 6.0$/LEAD_POWER = 0.0/
+s/^LEAD_EXPONENT = 6.0$/LEAD_EXPONENT = 0.0/
--- a/bench/ablation/patches/reading-weight.sed
+++ b/bench/ablation/patches/reading-weight.sed
@@ -1,2 +1,2 @@
 #packages/core/src/tamarack_core/placement.py
-s/^READING_WEIGHT = 5.0$/READING_WEIGHT = 1.0/
+s/^PREFILL_WEIGHT = 5.0$/PREFILL_WEIGHT = 1.0/
--- a/bench/ablation/patches/returned-first.sed
+++ b/bench/ablation/patches/returned-first.sed
@@ -1,2 +1,2 @@
 #packages/core/src/tamarack_core/admission.py
-s/^RETURNED = 1.05$/RETURNED = WITHIN_SHARE/
+s/^RETRY_FRACTION = 1.05$/RETRY_FRACTION = WITHIN_SHARE/
--- a/bench/ablation/patches/standing-behind.sed
+++ b/bench/ablation/patches/standing-behind.sed
@@ -1,2 +1,2 @@
 #packages/core/src/tamarack_core/admission.py
-s/^STANDING_BEHIND = 2.0$/STANDING_BEHIND = 3.0/
+s/^STANDING_CAP_MIN = 2.0$/STANDING_CAP_MIN = 3.0/
--- a/bench/ablation/patches/yield.sed
+++ b/bench/ablation/patches/yield.sed
@@ -1,2 +1,2 @@
 #packages/core/src/tamarack_core/admission.py
-s/^YIELD = 1.0$/YIELD = 0.0/
+s/^TARGET_EXPONENT = 1.0$/TARGET_EXPONENT = 0.0/
--- a/packages/bench/src/tamarack_bench/placement_bench.py
+++ b/packages/bench/src/tamarack_bench/placement_bench.py
@@ -9,7 +9,7 @@
 from tamarack_core.endpoint_book import Endpoint
 from tamarack_core.endpoint_record import EndpointRecord
 from tamarack_core.engine_model import EngineModel
-from tamarack_core.prompt import Prompt, PromptPart
+from tamarack_core.prompt import PrefixBlock, Prompt
 from tamarack_core.workspace_shares import WorkspaceShares
 
 PARTS = 60
@@ -33,18 +33,18 @@
     models = {name: EngineModel() for name in names}
     records = {name: EndpointRecord() for name in names}
     shares = WorkspaceShares(WINDOW_MS, 0.0)
-    parts = [PromptPart(f"part-{number}", PART_TOKENS) for number in range(PARTS)]
+    parts = [PrefixBlock(f"part-{number}", PART_TOKENS) for number in range(PARTS)]
     for part in parts:
-        models[draw.choice(names)].keep((part,))
+        models[draw.choice(names)].add_blocks((part,))
     for name in names:
-        models[name].sent_elsewhere(draw.expovariate(1 / 100.0), WINDOW_MS)
+        models[name].add_peer_work(draw.expovariate(1 / 100.0), WINDOW_MS)
     for number in range(workspaces):
         shares.count(f"w{number}", 20_000.0, 9_000.0, WINDOW_MS)
     found = Engines(endpoints, models, records)
     started = time.perf_counter()
     for number in range(DECISIONS):
         part = parts[number % PARTS]
-        own = PromptPart(f"own-{number}", OWN_TOKENS)
+        own = PrefixBlock(f"own-{number}", OWN_TOKENS)
         prompt = Prompt(PART_TOKENS + OWN_TOKENS, 100, (part, own))
         position = shares.position(f"w{number % workspaces}", TOKENS_PER_S, WINDOW_MS)
         place_admitted(prompt, found, position, TERMS, WINDOW_MS)
--- a/packages/core/src/tamarack_core/admission.py
+++ b/packages/core/src/tamarack_core/admission.py
@@ -21,35 +21,35 @@
 workspace's share, so that no capacity is left unused. The bound falls with the lead: among many
 engines one is idle at any time, and the workspace that sends most requests finds it most often."""
 
-LEAD_POWER = 6.0
+LEAD_EXPONENT = 6.0
 """Exponent by which the bound falls with the lead, the service relative to the least-served
 backlogged workspace. It is steep, so that the least-served one is admitted first as soon as it is
 behind."""
 
-STANDING_POWER = 2.0
+STANDING_EXPONENT = 2.0
 """Exponent by which the bound falls with the standing, the service received relative to the fair
 share. With an exponent of one, a workspace at five times its share keeps another at three times
 from the half of that service which it is owed."""
 
-STANDING_MOST = 3.0
+STANDING_CAP = 3.0
 """Standing beyond which the bound falls no further; above it only the lead distinguishes
 workspaces. With prefix cache hits, engines serve several times the throughput that shares are
 computed from. Every workspace with high demand is then far beyond its share, and without this cap
 all get the same lowest bound, the least-served one and the most-served one alike."""
 
-STANDING_BEHIND = 2.0
+STANDING_CAP_MIN = 2.0
 """Lowest value of that cap, for a workspace that received less than an equal share of the actual
 throughput; the cap falls in proportion to `filled`. With one cap for all workspaces far beyond
 their shares, one that asks for less than an equal share is refused as often as those with unlimited
 demand."""
 
-FREE_PART_EASES = 0.4
+IDLE_FRACTION_RELAXED = 0.4
 """Fraction of idle engines from which on a workspace's excess over its share is ignored, since
 refusing it would help nobody. Below this fraction the excess counts in proportion, so that queues
 shorten as engines fill up. With a small fraction, one idle engine of six would relax the limit for
 all, and every prompt recomputed there would take the engine from requests with cached prefixes."""
 
-RETURNED = 1.05
+RETRY_FRACTION = 1.05
 """Longest predicted queueing delay of a retried request, as a fraction of the latency target. A
 caller that was refused and came back after the requested delay has priority over new requests of
 equal standing."""
@@ -63,13 +63,13 @@
 same time are not retried at the same time."""
 
 
-YIELD = 1.0
+TARGET_EXPONENT = 1.0
 """Exponent by which the bound falls as the latency target grows: a route with twice the shortest
 target may find half the queue. If bounds rose with the targets, queues would grow as long as the
 route with the longest target tolerates, and the one with the shortest would be refused most; with a
 higher exponent the route with the longest target is refused most."""
 
-HOLD_PART = 0.5
+HOLD_FRACTION = 0.5
 """Longest time that a request is queued at the router, as a fraction of its latency target; it is
 refused at once if the engine's queue will not have shrunk by then."""
 
@@ -102,18 +102,18 @@
         Predicted queueing delay behind other requests, and the longest one that is admitted.
     """
 
-    verdict: Admission
+    admission: Admission
     reason: str
     wait_ms: float = 0.0
     queue_ms: float = 0.0
     bound_ms: float = 0.0
 
 
-def eased_standing(standing: float, free_part: float) -> float:
+def relaxed_standing(standing: float, idle_fraction: float) -> float:
     """Reduce the excess over the fair share in proportion to the fraction of idle engines."""
     if standing <= 1.0:
         return standing
-    return 1.0 + (standing - 1.0) * max(0.0, 1.0 - free_part / FREE_PART_EASES)
+    return 1.0 + (standing - 1.0) * max(0.0, 1.0 - idle_fraction / IDLE_FRACTION_RELAXED)
 
 
 def admit(
@@ -126,7 +126,7 @@
     left_ms: float,
     standing: float,
     lead: float,
-    returned: bool,
+    retried: bool,
     draw: float,
     filled: float = 1.0,
 ) -> Decision:
@@ -150,18 +150,18 @@
         demand beside one that got four times as much.
     lead
         Its service relative to the least-served backlogged workspace.
-    returned
+    retried
         Whether the request is a retry after a refusal.
     draw
         A random number in [0, 1) that spreads retries.
     filled
         Its service relative to an equal share of the actual throughput.
     """
-    target_fraction = RETURNED if returned else WITHIN_SHARE
-    standing_cap = max(STANDING_BEHIND, STANDING_MOST * min(1.0, filled))
+    target_fraction = RETRY_FRACTION if retried else WITHIN_SHARE
+    standing_cap = max(STANDING_CAP_MIN, STANDING_CAP * min(1.0, filled))
     excess = max(1.0, min(standing, standing_cap))
-    part = target_fraction / (excess**STANDING_POWER * max(1.0, lead) ** LEAD_POWER)
-    shared_queue_ms = shortest_aim_ms * (shortest_aim_ms / aim_ms) ** YIELD
+    part = target_fraction / (excess**STANDING_EXPONENT * max(1.0, lead) ** LEAD_EXPONENT)
+    shared_queue_ms = shortest_aim_ms * (shortest_aim_ms / aim_ms) ** TARGET_EXPONENT
     target_bound_ms = min(part * aim_ms - waited_ms, part * shared_queue_ms)
     bound_ms = max(IDLE_MS / max(1.0, lead), target_bound_ms)
     queue_ms = max(0.0, first_token_ms - unavoidable_ms)
@@ -169,7 +169,11 @@
         reason = "in time" if queue_ms <= target_bound_ms else FREE_ENGINE
         return Decision(Admission.ADMITTED, reason, 0.0, queue_ms, bound_ms)
     over_ms = queue_ms - bound_ms
-    if standing <= 1.0 and over_ms <= HOLD_PART * aim_ms - waited_ms and first_token_ms < left_ms:
+    if (
+        standing <= 1.0
+        and over_ms <= HOLD_FRACTION * aim_ms - waited_ms
+        and first_token_ms < left_ms
+    ):
         hold_ms = max(HOLD_MIN_MS, over_ms)
         return Decision(Admission.HELD, "the queue will shrink", hold_ms, queue_ms, bound_ms)
     reason = "beyond its share" if standing > 1.0 else "would wait too long"
--- a/packages/core/src/tamarack_core/admitted_placement.py
+++ b/packages/core/src/tamarack_core/admitted_placement.py
@@ -10,16 +10,16 @@
     Admission,
     Decision,
     admit,
-    eased_standing,
+    relaxed_standing,
 )
 from tamarack_core.endpoint_book import Endpoint
 from tamarack_core.endpoint_record import EndpointRecord
 from tamarack_core.engine_model import EngineModel
-from tamarack_core.placement import FREE_MS, Choice, choose_engine, choose_free
+from tamarack_core.placement import IDLE_ENGINE_QUEUE_MS, Choice, choose_engine, choose_free
 from tamarack_core.prompt import Prompt
 from tamarack_core.workspace_shares import Position
 
-SPREAD_READS = 2.0
+SPREAD_PREFILL_FACTOR = 2.0
 """Longest prefill at an idle engine, as a multiple of the tokens that are not cached at the engine
 with the lowest cost: it may recompute no more than it computes for the first time. Each prefill
 takes the idle engine from requests whose prefixes it caches; without a bound, prompts with a long
@@ -35,7 +35,7 @@
         Latency target, time already waited and time until the deadline.
     shortest_aim_ms
         The shortest latency target of all routes to the same engines.
-    returned
+    retried
         Whether it is a retry after a refusal.
     draw
         A random number in [0, 1) that spreads retries.
@@ -45,7 +45,7 @@
     shortest_aim_ms: float
     waited_ms: float
     left_ms: float
-    returned: bool
+    retried: bool
     draw: float
 
 
@@ -79,15 +79,15 @@
     choice = choose_engine(prompt, engines.endpoints, engines.models, engines.records, now_ms)
     if choice is None:
         return None
-    eased = position
+    relaxed = position
     if position.standing > 1.0:
         free_fraction = _free_fraction(engines, now_ms)
-        eased = position._replace(standing=eased_standing(position.standing, free_fraction))
-    decision = _decide(choice, prompt, engines, eased, terms, now_ms)
-    worth_reading = prompt.tokens_in <= SPREAD_READS * choice.unread_tokens
-    if decision.verdict is not Admission.ADMITTED and eased.standing <= 1.0 and worth_reading:
+        relaxed = position._replace(standing=relaxed_standing(position.standing, free_fraction))
+    decision = _decide(choice, prompt, engines, relaxed, terms, now_ms)
+    worth_prefill = prompt.tokens_in <= SPREAD_PREFILL_FACTOR * choice.unread_tokens
+    if decision.admission is not Admission.ADMITTED and relaxed.standing <= 1.0 and worth_prefill:
         others = [endpoint for endpoint in engines.endpoints if endpoint is not choice.endpoint]
-        on_idle = _place_on_idle(prompt, engines._replace(endpoints=others), eased, terms, now_ms)
+        on_idle = _place_on_idle(prompt, engines._replace(endpoints=others), relaxed, terms, now_ms)
         if on_idle is not None:
             return on_idle._replace(position=position)
     return AdmittedPlacement(choice, decision, position)
@@ -101,12 +101,15 @@
     if free is None or free.first_token_ms > WITHIN_SHARE * terms.aim_ms - terms.waited_ms:
         return None
     decision = _decide(free, prompt, engines, position, terms, now_ms)
-    return AdmittedPlacement(free, decision) if decision.verdict is Admission.ADMITTED else None
+    return AdmittedPlacement(free, decision) if decision.admission is Admission.ADMITTED else None
 
 
 def _free_fraction(engines: Engines, now_ms: float) -> float:
     models = engines.models
-    free = sum(models[endpoint.name].wait_ms(now_ms) <= FREE_MS for endpoint in engines.endpoints)
+    free = sum(
+        models[endpoint.name].wait_ms(now_ms) <= IDLE_ENGINE_QUEUE_MS
+        for endpoint in engines.endpoints
+    )
     return free / len(engines.endpoints)
 
 
@@ -121,7 +124,7 @@
     model = engines.models[choice.endpoint.name]
     return admit(
         first_token_ms=choice.first_token_ms,
-        unavoidable_ms=model.reading_ms(prompt) * model.pace(now_ms) + model.beyond_reading_ms,
+        unavoidable_ms=model.reading_ms(prompt) * model.pace(now_ms) + model.beyond_prefill_ms,
         standing=position.standing,
         lead=position.lead,
         filled=position.filled,
--- a/packages/core/src/tamarack_core/concurrency_limit.py
+++ b/packages/core/src/tamarack_core/concurrency_limit.py
@@ -10,8 +10,8 @@
 half of the shortest time in which events have to be forwarded; both exceed the 48 ms for which a
 CPU quota of half a core pauses a process, which is no sign of overload."""
 
-CUT = 0.8
-CUT_EACH_MS = 250.0
+DECREASE_FACTOR = 0.8
+DECREASE_INTERVAL_MS = 250.0
 """Factor of a decrease of the limit, and the shortest time between two in milliseconds: streams
 admitted before go on for a second or two, and the loop recovers as they end."""
 
@@ -22,10 +22,10 @@
 """Consecutive late samples that decrease the limit: a single one is a suspended process or a long
 callback, after which the router can handle as much as before."""
 
-LEAST = 32.0
+MIN_LIMIT = 32.0
 """Lower bound of the limit: so few requests do not cause event-loop lag."""
 
-OVER = 2.0
+OVER_LIMIT_FACTOR = 2.0
 """Multiple of the limit up to which requests of workspaces below an equal share of it are admitted:
 it bounds the case of many workspaces with a few requests each."""
 
@@ -40,16 +40,16 @@
     """
 
     def __init__(self) -> None:
-        self._most = math.inf
+        self._limit = math.inf
         self._decreased_ms = -math.inf
         self._late_samples = 0
 
     @property
-    def most(self) -> float:
+    def limit(self) -> float:
         """Current limit on requests in progress; infinite until it first decreases."""
-        return self._most
+        return self._limit
 
-    def takes(self, own: int, running: int, workspaces: int) -> bool:
+    def admits(self, own: int, running: int, workspaces: int) -> bool:
         """Whether one more request is admitted.
 
         Beyond the limit, only workspaces below an equal share of it are admitted. Otherwise a
@@ -62,15 +62,18 @@
         running, workspaces
             Requests in progress in total, and the number of workspaces including this one.
         """
-        if running < self._most:
+        if running < self._limit:
             return True
-        return running < OVER * self._most and own < self._most / workspaces
+        return running < OVER_LIMIT_FACTOR * self._limit and own < self._limit / workspaces
 
     def observe(self, late_ms: float, running: int, now_ms: float) -> None:
         """Update the limit by the lag of the event loop's timer and the requests in progress."""
         self._late_samples = self._late_samples + 1 if late_ms > HIGH_MS else 0
-        if self._late_samples >= LATE_SAMPLES and now_ms - self._decreased_ms >= CUT_EACH_MS:
+        if (
+            self._late_samples >= LATE_SAMPLES
+            and now_ms - self._decreased_ms >= DECREASE_INTERVAL_MS
+        ):
             self._decreased_ms = now_ms
-            self._most = max(LEAST, CUT * min(self._most, running))
-        elif late_ms < LOW_MS and running >= CUT * self._most:
-            self._most += GROWTH
+            self._limit = max(MIN_LIMIT, DECREASE_FACTOR * min(self._limit, running))
+        elif late_ms < LOW_MS and running >= DECREASE_FACTOR * self._limit:
+            self._limit += GROWTH
--- a/packages/core/src/tamarack_core/engine_model.py
+++ b/packages/core/src/tamarack_core/engine_model.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict
 
 from tamarack_core.first_token import FIRST_TOKEN_MS, FirstTokenTime
-from tamarack_core.prompt import Prompt, PromptPart
+from tamarack_core.prompt import PrefixBlock, Prompt
 
 PROMPT_TOKENS_PER_MS = 50.0
 """Initial estimate of prefilled tokens per millisecond, deliberately low; the speed factor of each
@@ -27,7 +27,7 @@
 PACE_MIN, PACE_MAX = 0.4, 8.0
 """Bounds of the speed factor: observed time as a multiple of the predicted time."""
 
-SEEN_GAIN = 0.5
+PEER_GAIN = 0.5
 """Weight of a queueing delay that another router reports. The report is some 80 ms old and lacks
 the requests sent since, so it corrects the local sum and does not replace it."""
 
@@ -42,21 +42,21 @@
 PACE_HALF_LIFE_MS = 4_000.0
 """Half-life in milliseconds of a learned slowdown, so that a slow engine is tried again."""
 
-PART_TOLD_TOKENS = 256
+BLOCK_REPORT_MIN_TOKENS = 256
 """Smallest prefix block that is reported to other routers; a smaller one is recomputed in a few
 milliseconds."""
 
-PART_TOLD_MS = 3_000.0
+BLOCK_REPORT_INTERVAL_MS = 3_000.0
 """Milliseconds after which a block that is used again is reported again, so that other routers do
 not treat it as evicted; reporting all blocks after each placement would double the traffic between
 failure domains."""
 
-KEPT_PART_OF_MEMORY = 0.6
+CACHE_FRACTION_OF_MEMORY = 0.6
 """Fraction of an engine's KV memory that the model assumes for cached prefix blocks; running
 requests use the rest."""
 
 
-def reading_ms_of(prompt: Prompt, unread: int) -> float:
+def prefill_ms_of(prompt: Prompt, unread: int) -> float:
     """Time in milliseconds to prefill the last `unread` tokens of a prompt, at speed factor one."""
     pairs = unread * (prompt.tokens_in - unread / 2)
     return unread / PROMPT_TOKENS_PER_MS + pairs / 1e6 * PAIR_MS_PER_MILLION
@@ -108,7 +108,7 @@
 
     def resize(self, memory_tokens: int) -> None:
         """Set the capacity of the engine's KV memory, which may become known later or change."""
-        self._capacity = memory_tokens * KEPT_PART_OF_MEMORY
+        self._capacity = memory_tokens * CACHE_FRACTION_OF_MEMORY
         self._evict()
 
     def pace(self, now_ms: float) -> float:
@@ -121,7 +121,7 @@
         return max(0.0, self._free_ms - now_ms)
 
     @property
-    def beyond_reading_ms(self) -> float:
+    def beyond_prefill_ms(self) -> float:
         """Time from the end of prefill to the first token, beyond `FIRST_TOKEN_MS`."""
         return self._first_token.beyond_ms
 
@@ -130,20 +130,20 @@
         """Time from the end of prefill to the first token."""
         return FIRST_TOKEN_MS + self._first_token.beyond_ms
 
-    def keeps(self, part: PromptPart) -> bool:
+    def caches(self, part: PrefixBlock) -> bool:
         """Whether the engine is known to cache a prefix block."""
         return part.key in self._cached
 
     def reading_ms(self, prompt: Prompt, assumed_kept: int = 0) -> float:
         """Time to prefill the uncached rest of a prompt, at speed factor one."""
-        return reading_ms_of(prompt, max(0, self.unread_tokens(prompt) - assumed_kept))
+        return prefill_ms_of(prompt, max(0, self.unread_tokens(prompt) - assumed_kept))
 
     def unread_tokens(self, prompt: Prompt) -> int:
         """Prompt tokens that the engine has to prefill, according to the local state."""
-        cached = sum(part.tokens for part in prompt.parts[: self.kept_parts(prompt)])
+        cached = sum(part.tokens for part in prompt.parts[: self.cached_blocks(prompt)])
         return max(0, prompt.tokens_in - cached)
 
-    def kept_parts(self, prompt: Prompt) -> int:
+    def cached_blocks(self, prompt: Prompt) -> int:
         """Number of leading prefix blocks of a prompt that the engine caches."""
         for number, part in enumerate(prompt.parts):
             if part.key not in self._cached:
@@ -156,10 +156,10 @@
         self._add(reading_ms, now_ms)
         due_ms = self._free_ms + FIRST_TOKEN_MS
         self._sent[request] = _Sent(now_ms, due_ms, reading_ms, self._added_ms)
-        self.keep(prompt.parts)
+        self.add_blocks(prompt.parts)
         return reading_ms
 
-    def sent_elsewhere(self, reading_ms: float, now_ms: float) -> None:
+    def add_peer_work(self, reading_ms: float, now_ms: float) -> None:
         """Add the prefill time of requests sent by another router."""
         self._add(reading_ms, now_ms)
 
@@ -174,19 +174,19 @@
             return
         if sent.reading_ms <= SHORT_MS:
             self._first_token.observe(now_ms - sent.sent_ms - sent.reading_ms, now_ms)
-        prefilled_ms = now_ms - self.beyond_reading_ms
+        prefilled_ms = now_ms - self.beyond_prefill_ms
         self._learn(sent, prefilled_ms)
         behind_ms = self._added_ms - sent.added_ms
         self._free_ms = prefilled_ms + behind_ms
 
-    def seen_elsewhere(self, wait_ms: float, pace: float, now_ms: float) -> None:
+    def observe_peer(self, wait_ms: float, pace: float, now_ms: float) -> None:
         """Apply the queueing delay and speed factor that another router saw at a first event.
 
         In a large fleet a router gets a first event from an engine only every few seconds. Without
         the observations of other routers, the sum of all sent work drifts away from the real queue,
         and requests are refused or sent to engines that do not cache their prefix.
         """
-        self._free_ms += SEEN_GAIN * (now_ms + wait_ms - max(now_ms, self._free_ms))
+        self._free_ms += PEER_GAIN * (now_ms + wait_ms - max(now_ms, self._free_ms))
         own = self.pace(now_ms)
         self._pace = own + PACE_GAIN * (pace - own)
         self._pace_updated_ms = now_ms
@@ -195,7 +195,7 @@
         """Remove a request that ended without a first event."""
         self._sent.pop(request, None)
 
-    def keep(self, parts: tuple[PromptPart, ...]) -> None:
+    def add_blocks(self, parts: tuple[PrefixBlock, ...]) -> None:
         """Record that the engine caches these blocks; the least recently used ones are evicted."""
         for part in parts:
             if part.key not in self._cached:
@@ -210,7 +210,7 @@
             self._cached_tokens -= tokens
             self._reported_ms.pop(key, None)
 
-    def keep_older(self, parts: list[PromptPart]) -> None:
+    def add_reported_blocks(self, parts: list[PrefixBlock]) -> None:
         """Add blocks from the engine's own report; those known here were used more recently.
 
         The engine's cache is larger than the model's, which leaves out the unshared blocks of other
@@ -218,22 +218,22 @@
         shared ones and cost most to recompute.
         """
         known = list(self._cached.items())
-        self.keep(tuple(sorted(parts, key=lambda part: part.tokens)))
-        self.keep(tuple(PromptPart(key, tokens) for key, tokens in known))
+        self.add_blocks(tuple(sorted(parts, key=lambda part: part.tokens)))
+        self.add_blocks(tuple(PrefixBlock(key, tokens) for key, tokens in known))
 
-    def keep_named(self, parts: list[tuple[str, int]], now_ms: float) -> None:
+    def add_peer_blocks(self, parts: list[tuple[str, int]], now_ms: float) -> None:
         """Record blocks that another router reported, by key and size."""
         for key, _ in parts:
             self._reported_ms[key] = now_ms
-        self.keep(tuple(PromptPart(key, tokens) for key, tokens in parts))
+        self.add_blocks(tuple(PrefixBlock(key, tokens) for key, tokens in parts))
 
-    def parts_to_tell(self, prompt: Prompt, now_ms: float) -> list[PromptPart]:
+    def blocks_to_report(self, prompt: Prompt, now_ms: float) -> list[PrefixBlock]:
         """Shared blocks of a prompt sent to this engine that other routers may not know of."""
         parts = [
             part
             for part in prompt.parts[:-1]
-            if part.tokens >= PART_TOLD_TOKENS
-            and now_ms - self._reported_ms.get(part.key, float("-inf")) >= PART_TOLD_MS
+            if part.tokens >= BLOCK_REPORT_MIN_TOKENS
+            and now_ms - self._reported_ms.get(part.key, float("-inf")) >= BLOCK_REPORT_INTERVAL_MS
         ]
         for part in parts:
             self._reported_ms[part.key] = now_ms
--- a/packages/core/src/tamarack_core/loop_lag.py
+++ b/packages/core/src/tamarack_core/loop_lag.py
@@ -24,7 +24,7 @@
 """Consecutive calm samples that end an overload, 0.4 s: not all callers that went to other routers
 come back."""
 
-SHED_MS = 350.0
+REFUSE_MS = 350.0
 TAKE_MS = 50.0
 """Alternating periods in milliseconds in which an overloaded router refuses all new requests and
 accepts them. With permanent refusal no request would be served if all routers are overloaded, or if
@@ -72,11 +72,11 @@
         """Whether callers should use other routers: this one is or was recently overloaded."""
         return self._overloaded or now_ms - self._ended_ms < AVOID_MS
 
-    def sheds(self, now_ms: float) -> bool:
+    def should_refuse(self, now_ms: float) -> bool:
         """Whether requests that arrive now are refused."""
-        return self._overloaded and (now_ms - self._since_ms) % (SHED_MS + TAKE_MS) < SHED_MS
+        return self._overloaded and (now_ms - self._since_ms) % (REFUSE_MS + TAKE_MS) < REFUSE_MS
 
-    def woke(self, late_ms: float, now_ms: float) -> bool:
+    def record_lag(self, late_ms: float, now_ms: float) -> bool:
         """Record the lag of a timer; returns whether an overload began or ended."""
         late_ms = max(0.0, late_ms)
         self.lag_ms = max(late_ms, self.lag_ms * PEAK_KEPT)
--- a/packages/core/src/tamarack_core/placement.py
+++ b/packages/core/src/tamarack_core/placement.py
@@ -7,25 +7,25 @@
 
 from tamarack_core.endpoint_book import Endpoint
 from tamarack_core.endpoint_record import EndpointRecord
-from tamarack_core.engine_model import PACE_MIN, EngineModel, reading_ms_of
+from tamarack_core.engine_model import PACE_MIN, EngineModel, prefill_ms_of
 from tamarack_core.first_token import FIRST_TOKEN_MS
-from tamarack_core.prompt import Prompt, PromptPart
+from tamarack_core.prompt import PrefixBlock, Prompt
 from tamarack_core.rendezvous import score
 
 FAILURE_PENALTY_MS = 600.0
 """Cost in milliseconds of one recent failure of an endpoint: about the time that a request loses
 when it fails there, too."""
 
-AWAY_FROM_HOME_MS = 60.0
+NOT_PREFERRED_PENALTY_MS = 60.0
 """Cost in milliseconds of an engine that neither caches a prompt's shared prefix block nor is its
 preferred engine (by rendezvous hashing). Without it, routers would prefill a block that is cached
 nowhere at several engines at once."""
 
-READING_WEIGHT = 5.0
+PREFILL_WEIGHT = 5.0
 """Weight of the prefill time in the cost of an engine: a prefill delays other requests as long as
 this one, and evicts other blocks, which are then recomputed, too."""
 
-FREE_MS = 8.0
+IDLE_ENGINE_QUEUE_MS = 8.0
 """Queueing delay in milliseconds up to which an engine counts as idle: together with the first
 decoding steps it stays below the bound up to which any workspace is admitted."""
 
@@ -80,17 +80,17 @@
         reading_ms = model.reading_ms(prompt, assumed) * pace
         first_token_ms = model.wait_ms(now_ms) + reading_ms + model.first_token_ms
         first_token_ms += _full_ms(endpoint, model)
-        cost = first_token_ms + (READING_WEIGHT - 1.0) * reading_ms
+        cost = first_token_ms + (PREFILL_WEIGHT - 1.0) * reading_ms
         cost += FAILURE_PENALTY_MS * records[endpoint.name].failures(now_ms)
         if endpoint is not preferred and unread >= prompt.tokens_in:
-            cost += AWAY_FROM_HOME_MS
+            cost += NOT_PREFERRED_PENALTY_MS
         if cost < lowest_cost:
             lowest_cost = cost
             cheapest = Choice(endpoint, first_token_ms, unread)
     # All other engines prefill the whole prompt. One whose queue and prefill alone cost as much as
     # the cheapest so far is skipped, which with 156 engines saves nearly all of the work.
-    whole_ms = reading_ms_of(prompt, prompt.tokens_in)
-    least_ms = FIRST_TOKEN_MS + AWAY_FROM_HOME_MS + READING_WEIGHT * whole_ms * PACE_MIN
+    whole_ms = prefill_ms_of(prompt, prompt.tokens_in)
+    least_ms = FIRST_TOKEN_MS + NOT_PREFERRED_PENALTY_MS + PREFILL_WEIGHT * whole_ms * PACE_MIN
     for endpoint in others:
         model = models[endpoint.name]
         wait_ms = model.wait_ms(now_ms)
@@ -98,7 +98,7 @@
             continue
         reading_ms = whole_ms * model.pace(now_ms)
         first_token_ms = wait_ms + reading_ms + model.first_token_ms + _full_ms(endpoint, model)
-        cost = first_token_ms + (READING_WEIGHT - 1.0) * reading_ms + AWAY_FROM_HOME_MS
+        cost = first_token_ms + (PREFILL_WEIGHT - 1.0) * reading_ms + NOT_PREFERRED_PENALTY_MS
         cost += FAILURE_PENALTY_MS * records[endpoint.name].failures(now_ms)
         if cost < lowest_cost:
             lowest_cost = cost
@@ -122,7 +122,7 @@
     free = [
         endpoint
         for endpoint in endpoints
-        if models[endpoint.name].wait_ms(now_ms) <= FREE_MS
+        if models[endpoint.name].wait_ms(now_ms) <= IDLE_ENGINE_QUEUE_MS
         and not _full_ms(endpoint, models[endpoint.name])
         and records[endpoint.name].failures(now_ms) < MAX_IDLE_FAILURES
     ]
@@ -137,9 +137,9 @@
 
 
 def _preferred_engine(
-    anchor: PromptPart | None, endpoints: Sequence[Endpoint], models: Mapping[str, EngineModel]
+    anchor: PrefixBlock | None, endpoints: Sequence[Endpoint], models: Mapping[str, EngineModel]
 ) -> Endpoint | None:
-    if anchor is None or any(models[e.name].keeps(anchor) for e in endpoints):
+    if anchor is None or any(models[e.name].caches(anchor) for e in endpoints):
         return None
     return max(endpoints, key=lambda e: score(anchor.key, e.name), default=None)
 
@@ -154,7 +154,7 @@
     caching: list[Endpoint] = []
     others: list[Endpoint] = []
     for endpoint in endpoints:
-        (caching if models[endpoint.name].keeps(first) else others).append(endpoint)
+        (caching if models[endpoint.name].caches(first) else others).append(endpoint)
     return caching, others
 
 
--- a/packages/core/src/tamarack_core/prompt.py
+++ b/packages/core/src/tamarack_core/prompt.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class PromptPart(NamedTuple):
+class PrefixBlock(NamedTuple):
     """A prefix block: consecutive prompt tokens that requests may share.
 
     Attributes
@@ -36,10 +36,10 @@
 
     tokens_in: int
     max_tokens_out: int
-    parts: tuple[PromptPart, ...]
+    parts: tuple[PrefixBlock, ...]
 
     @property
-    def anchor(self) -> PromptPart | None:
+    def anchor(self) -> PrefixBlock | None:
         """The largest block that other requests may share; it selects the preferred engine."""
         return max(self.parts[:-1], key=lambda part: part.tokens, default=None)
 
@@ -49,11 +49,11 @@
         return self.tokens_in + 2.0 * self.max_tokens_out
 
 
-def part_key(model: str, part: str) -> str:
+def block_key(model: str, part: str) -> str:
     """Key of a prefix block; it includes the model, as models cannot share cached blocks."""
     return f"{model}/{part}"
 
 
-def parts_of(model: str, parts: list[tuple[str, int]]) -> tuple[PromptPart, ...]:
+def blocks_of(model: str, parts: list[tuple[str, int]]) -> tuple[PrefixBlock, ...]:
     """Prefix blocks of a prompt with their keys, in order."""
-    return tuple(PromptPart(part_key(model, part), tokens) for part, tokens in parts)
+    return tuple(PrefixBlock(block_key(model, part), tokens) for part, tokens in parts)
--- a/packages/core/src/tamarack_core/service_times.py
+++ b/packages/core/src/tamarack_core/service_times.py
@@ -8,13 +8,13 @@
 """Length of the sliding window in milliseconds: long enough to contain some of the slowest
 requests."""
 
-MOST_READINGS = 400
+MAX_SAMPLES = 400
 """Maximum number of samples; a busy router finishes some 20 requests a second."""
 
-LEAST_READINGS = 8
+MIN_SAMPLES = 8
 """Minimum number of samples for an estimate: the largest of a few is seldom near the slowest."""
 
-STREAM_PART = 0.95
+STREAM_QUANTILE = 0.95
 """Quantile used for streams: with the maximum instead, many more streams are refused that would
 have finished in time."""
 
@@ -30,7 +30,7 @@
     """Sliding window of samples."""
 
     def __init__(self) -> None:
-        self._samples: deque[tuple[float, float]] = deque(maxlen=MOST_READINGS)
+        self._samples: deque[tuple[float, float]] = deque(maxlen=MAX_SAMPLES)
 
     def note(self, reading: float, now_ms: float) -> None:
         """Add a sample."""
@@ -40,7 +40,7 @@
         """Quantile `part` of the samples (1: the maximum); None with too few samples."""
         while self._samples and now_ms - self._samples[0][0] > WINDOW_MS:
             self._samples.popleft()
-        if len(self._samples) < LEAST_READINGS:
+        if len(self._samples) < MIN_SAMPLES:
             return None
         ordered = sorted(reading for _, reading in self._samples)
         return ordered[min(len(ordered) - 1, int(len(ordered) * part))]
@@ -92,7 +92,7 @@
         left_ms
             As in `longest_answer_ms`.
         """
-        token_ms = self._token_ms.quantile(STREAM_PART, now_ms)
+        token_ms = self._token_ms.quantile(STREAM_QUANTILE, now_ms)
         if token_ms is None:
             return left_ms
         generating_ms = max(LEAST_TOKENS, expected_tokens) * token_ms
--- a/packages/core/src/tamarack_core/workspace_shares.py
+++ b/packages/core/src/tamarack_core/workspace_shares.py
@@ -98,11 +98,11 @@
         self._served: dict[str, float] = {}
         self._cached_levels: _Levels | None = None
 
-    def ask(self, workspace: str, tokens: float, now_ms: float) -> None:
+    def record_demand(self, workspace: str, tokens: float, now_ms: float) -> None:
         """Count tokens requested by a workspace."""
         self.count(workspace, tokens, 0.0, now_ms)
 
-    def serve(self, workspace: str, tokens: float, now_ms: float) -> None:
+    def record_service(self, workspace: str, tokens: float, now_ms: float) -> None:
         """Count tokens of a request that was sent to an engine."""
         self.count(workspace, 0.0, tokens, now_ms)
 
--- a/packages/gateway/src/tamarack_gateway/cache_inventory.py
+++ b/packages/gateway/src/tamarack_gateway/cache_inventory.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from tamarack_core.endpoint_book import Endpoint
-from tamarack_core.engine_model import PART_TOLD_TOKENS
+from tamarack_core.engine_model import BLOCK_REPORT_MIN_TOKENS
 from tamarack_gateway.connection_pool import ConnectionPool
 from tamarack_gateway.endpoint_connection import BrokenAnswerError, ConnectError
 from tamarack_gateway.fleet_state import FleetState
@@ -92,8 +92,8 @@
                 "engine cache of another incarnation ignored", endpoint=engine.name, **life
             )
             return 0
-        model.keep_older(inventory.parts)
-        large = [part for part in inventory.parts if part.tokens >= PART_TOLD_TOKENS]
+        model.add_reported_blocks(inventory.parts)
+        large = [part for part in inventory.parts if part.tokens >= BLOCK_REPORT_MIN_TOKENS]
         self._outbox.placed(engine.name, 0.0, large, engine.life)
         return len(inventory.parts)
 
--- a/packages/gateway/src/tamarack_gateway/caller_handler.py
+++ b/packages/gateway/src/tamarack_gateway/caller_handler.py
@@ -74,7 +74,7 @@
             return
         rules = state.rules
         workspace = rules.workspace_of(facts.key) if rules and facts.key is not None else None
-        if self._watch.sheds(workspace):
+        if self._watch.should_refuse(workspace):
             # Checked before any other work: this router is overloaded, and others may not be. The
             # caller gets an answer and keeps its connection: a caller whose connection is closed
             # unread takes the address for dead, and one pinned to this router has no other.
--- a/packages/gateway/src/tamarack_gateway/engine_gate.py
+++ b/packages/gateway/src/tamarack_gateway/engine_gate.py
@@ -57,13 +57,13 @@
             shortest_aim_ms=state.shortest_aim_ms(self._service, aim_ms),
             waited_ms=now_ms - self._arrived_ms,
             left_ms=left_ms,
-            returned=state.returns.returned(self._route.name, self._facts.wait_ms),
+            retried=state.retry_detector.is_retry(self._route.name, self._facts.wait_ms),
             draw=state.random.random(),
         )
         position = self._position(now_ms)
         engines = Engines(endpoints, state.models, state.records)
         placement = place_admitted(prompt, engines, position, terms, now_ms)
-        if placement is not None and placement.decision.verdict is not Admission.ADMITTED:
+        if placement is not None and placement.decision.admission is not Admission.ADMITTED:
             self._log_decision(prompt, placement)
         return placement
 
@@ -80,7 +80,7 @@
         # backlogged workspace) show for whom the queue was kept short.
         state, (choice, decision, position) = self._state, placement
         state.log.request(
-            decision.verdict.value,
+            decision.admission.value,
             self._facts.attempt,
             reason=decision.reason,
             workspace=self._workspace,
--- a/packages/gateway/src/tamarack_gateway/exchange.py
+++ b/packages/gateway/src/tamarack_gateway/exchange.py
@@ -148,12 +148,12 @@
             if placement is None:
                 return self._give_up(last)
             choice, decision, _ = placement
-            if decision.verdict is Admission.REFUSED:
+            if decision.admission is Admission.REFUSED:
                 self._answer.refuse(503, decision.wait_ms)
                 return None
             if not self._may_finish(choice):
                 return self._refuse_outlasting(choice, last)
-            if decision.verdict is Admission.HELD:
+            if decision.admission is Admission.HELD:
                 await asyncio.sleep(decision.wait_ms / 1000)
                 continue
             try:
--- a/packages/gateway/src/tamarack_gateway/fleet_state.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_state.py
@@ -15,7 +15,7 @@
 from tamarack_core.quarantine import Quarantine
 from tamarack_core.quarantine_records import USUAL_BOUNDS, QuarantineBounds
 from tamarack_core.retry_allowance import RetryAllowance
-from tamarack_core.return_detector import ReturnDetector
+from tamarack_core.return_detector import RetryDetector
 from tamarack_core.ruleset import CallerBounds, Ruleset
 from tamarack_core.service_shares import ServiceShares
 from tamarack_core.service_times import ServiceTimes
@@ -96,7 +96,7 @@
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_ms
         )
         self.shares = ServiceShares(bounds.share_window_ms, clock.now_ms)
-        self.returns = ReturnDetector()
+        self.retry_detector = RetryDetector()
         self.quarantine = Quarantine(lambda fingerprint: self.owns(fingerprint), quarantine)
         self.quarantine_known = False
         self.owns: Callable[[str], bool] = _owns_nothing
@@ -194,12 +194,12 @@
         incarnations, models = self._incarnations, self.models
         for name, reading_ms, parts, life in placements.placed:
             if name in incarnations and incarnations[name] == life:
-                models[name].sent_elsewhere(reading_ms, now_ms)
+                models[name].add_peer_work(reading_ms, now_ms)
                 if parts:
-                    models[name].keep_named(parts, now_ms)
+                    models[name].add_peer_blocks(parts, now_ms)
         for name, wait_ms, pace, life in placements.seen:
             if name in incarnations and incarnations[name] == life:
-                models[name].seen_elsewhere(wait_ms, pace, now_ms)
+                models[name].observe_peer(wait_ms, pace, now_ms)
         # Counts for services that this router does not know are dropped: they may be invalid.
         known = self.rules.engine_services if self.rules is not None else ()
         for service, rows in placements.tokens.items():
--- a/packages/gateway/src/tamarack_gateway/loop_watch.py
+++ b/packages/gateway/src/tamarack_gateway/loop_watch.py
@@ -95,13 +95,13 @@
         """Requests in progress."""
         return self._running.total()
 
-    def sheds(self, workspace: str | None) -> bool:
+    def should_refuse(self, workspace: str | None) -> bool:
         """Whether a new request of a workspace is to be refused at once."""
         own = self._running[workspace]
         workspaces = len(self._running) + (own == 0)
-        if not self._limit.takes(own, self.running, workspaces):
+        if not self._limit.admits(own, self.running, workspaces):
             return True
-        return self._lag.sheds(self._clock.now_ms)
+        return self._lag.should_refuse(self._clock.now_ms)
 
     @contextmanager
     def taking(self, workspace: str | None) -> Iterator[None]:
@@ -116,7 +116,7 @@
 
     def status(self) -> LoopStatus:
         """Current load of the event loop."""
-        lag, limit = self._lag, self._limit.most
+        lag, limit = self._lag, self._limit.limit
         return {
             "lag_ms": round(lag.lag_ms),
             "most_lag_ms": round(lag.most_ms),
@@ -137,7 +137,7 @@
     def _sample(self, due_ms: float) -> None:
         now_ms = self._clock.now_ms
         self._limit.observe(now_ms - due_ms, self.running, now_ms)
-        overload_changed = self._lag.woke(now_ms - due_ms, now_ms)
+        overload_changed = self._lag.record_lag(now_ms - due_ms, now_ms)
         self._schedule()
         if overload_changed:
             message = "overloaded" if self._lag.overloaded else "no longer overloaded"
--- a/packages/gateway/src/tamarack_gateway/outbox.py
+++ b/packages/gateway/src/tamarack_gateway/outbox.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from tamarack_core.endpoint_book import EndpointLife
-from tamarack_core.prompt import PromptPart
+from tamarack_core.prompt import PrefixBlock
 
 
 class Placed(NamedTuple):
@@ -142,7 +142,7 @@
         self._pending_event.clear()
 
     def placed(
-        self, endpoint: str, reading_ms: float, parts: list[PromptPart], life: int | None = None
+        self, endpoint: str, reading_ms: float, parts: list[PrefixBlock], life: int | None = None
     ) -> None:
         """Record a request that was sent to an engine."""
         self._pending_event.set()
--- a/packages/gateway/src/tamarack_gateway/send_notes.py
+++ b/packages/gateway/src/tamarack_gateway/send_notes.py
@@ -62,7 +62,7 @@
             return
         charge = self._prompt.charge
         shares = self._state.shares.of(self._service)
-        shares.ask(self._workspace, charge, self._state.clock.now_ms)
+        shares.record_demand(self._workspace, charge, self._state.clock.now_ms)
         self._outbox.asked(self._service, self._workspace, charge)
 
     def placed(self, placement: AdmittedPlacement, route: Route, send: int, left_ms: float) -> None:
@@ -97,7 +97,7 @@
         if self._prompt is None or model is None:
             return []
         shared = self._prompt.parts[:-1]
-        cached_count = model.kept_parts(self._prompt)
+        cached_count = model.cached_blocks(self._prompt)
         return [
             (part.key, part.tokens, number >= cached_count) for number, part in enumerate(shared)
         ]
@@ -112,12 +112,12 @@
         self._model = model = state.model(choice.endpoint.key)
         if prompt is None or model is None:
             return
-        parts = model.parts_to_tell(prompt, now_ms)
+        parts = model.blocks_to_report(prompt, now_ms)
         reading_ms = model.sent(self._attempt, prompt, now_ms)
         self._outbox.placed(name, reading_ms, parts, life)
         if self._workspace is not None and not self._service_recorded:
             self._service_recorded = True
-            state.shares.of(self._service).serve(self._workspace, prompt.charge, now_ms)
+            state.shares.of(self._service).record_service(self._workspace, prompt.charge, now_ms)
             self._outbox.served(self._service, self._workspace, prompt.charge)
 
     def first_event(self, choice: Choice) -> None:
--- a/packages/gateway/src/tamarack_gateway/site.py
+++ b/packages/gateway/src/tamarack_gateway/site.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple, Protocol
 
 from tamarack_core.endpoint_book import Endpoint
-from tamarack_core.prompt import Prompt, PromptPart
+from tamarack_core.prompt import PrefixBlock, Prompt
 from tamarack_core.ruleset import Ruleset
 from tamarack_gateway.http_messages import AnswerHead, Headers, Request
 
@@ -149,7 +149,7 @@
 class Inventory(NamedTuple):
     """Prefix blocks that an engine has cached, and its incarnation (None if not given)."""
 
-    parts: list[PromptPart]
+    parts: list[PrefixBlock]
     life: int | None
 
 
--- a/tests/share_simulation.py
+++ b/tests/share_simulation.py
@@ -20,7 +20,7 @@
 from tamarack_core.endpoint_record import EndpointRecord
 from tamarack_core.engine_model import EngineModel
 from tamarack_core.first_token import FIRST_TOKEN_MS
-from tamarack_core.prompt import Prompt, PromptPart
+from tamarack_core.prompt import PrefixBlock, Prompt
 from tamarack_core.workspace_shares import WorkspaceShares
 
 WINDOW_MS = 4_000.0
@@ -108,7 +108,7 @@
         """Prefill a prompt; returns the time of its first token."""
         reading_ms = self.cache.reading_ms(prompt)
         self.read += self.cache.unread_tokens(prompt)
-        self.cache.keep(prompt.parts)
+        self.cache.add_blocks(prompt.parts)
         self.busy_ms += reading_ms
         self.free_ms = max(now_ms, self.free_ms) + reading_ms
         return self.free_ms + FIRST_TOKEN_MS
@@ -182,12 +182,12 @@
 
     # prompts
 
-    def _make_parts(self, workspace: str) -> list[PromptPart]:
+    def _make_parts(self, workspace: str) -> list[PrefixBlock]:
         sizes = (
             min(39_900, int(self._random.lognormvariate(9.25, 0.7)))
             for _ in range(self._scenario.workspaces[workspace].parts)
         )
-        return [PromptPart(f"{workspace}/{number}", size) for number, size in enumerate(sizes)]
+        return [PrefixBlock(f"{workspace}/{number}", size) for number, size in enumerate(sizes)]
 
     def _fill_caches(self) -> None:
         """Cache each block at one engine, or at all, before the start; all routers know of it."""
@@ -195,11 +195,11 @@
             for number, part in enumerate(parts):
                 kept = [self._random.choice(self._names)] if self._scenario.scattered else []
                 for name in kept or self._names:
-                    block = PromptPart(part.key, part.tokens if self._scenario.scattered else 1)
+                    block = PrefixBlock(part.key, part.tokens if self._scenario.scattered else 1)
                     parts[number] = block
-                    self._engines[name].cache.keep((block,))
+                    self._engines[name].cache.add_blocks((block,))
                     for router in self._routers:
-                        router.models[name].keep((block,))
+                        router.models[name].add_blocks((block,))
 
     def _prompt(self, workspace: str, name: str) -> Prompt:
         parts = self._parts[workspace]
@@ -207,7 +207,7 @@
         shared = parts[int(len(parts) * self._random.random() ** 1.4)]
         own = min(30_000, int(self._random.lognormvariate(7.6, 1.1)))
         tokens_in = shared.tokens + own
-        return Prompt(tokens_in, 60, (shared, PromptPart(name, own)))
+        return Prompt(tokens_in, 60, (shared, PrefixBlock(name, own)))
 
     # callers
 
@@ -224,27 +224,29 @@
     def _request(self, request: _Request) -> None:
         router = self._random.choice(self._routers)
         charge, workspace = request.prompt.charge, request.workspace
-        router.shares.ask(workspace, charge, self._now_ms)
-        router.queue_report(lambda other, now_ms: other.shares.ask(workspace, charge, now_ms))
+        router.shares.record_demand(workspace, charge, self._now_ms)
+        router.queue_report(
+            lambda other, now_ms: other.shares.record_demand(workspace, charge, now_ms)
+        )
         self._decide(router, request, self._now_ms)
 
     def _decide(self, router: _Router, request: _Request, received_ms: float) -> None:
         now_ms = self._now_ms
         left_ms = request.arrived_ms + DEADLINE_MS - now_ms
         draw = self._random.random()
-        returned = request.returns > 0
-        terms = Terms(AIM_MS, AIM_MS, now_ms - received_ms, left_ms, returned, draw)
+        retried = request.returns > 0
+        terms = Terms(AIM_MS, AIM_MS, now_ms - received_ms, left_ms, retried, draw)
         rate = self._scenario.tokens_per_s
         position = router.shares.position(request.workspace, rate, now_ms)
         engines = Engines(self._endpoints, router.models, router.records)
         placement = place_admitted(request.prompt, engines, position, terms, now_ms)
         assert placement is not None
         decision = placement.decision
-        if decision.verdict is Admission.ADMITTED:
+        if decision.admission is Admission.ADMITTED:
             if decision.reason == FREE_ENGINE and self._counted(now_ms):
                 self._by_free[request.workspace] += request.prompt.charge
             self._send(router, request, placement.choice.endpoint.name)
-        elif decision.verdict is Admission.HELD:
+        elif decision.admission is Admission.HELD:
             self._at(now_ms + decision.wait_ms, self._decide, router, request, received_ms)
         elif request.returns < RETURNS:
             again = request._replace(returns=request.returns + 1)
@@ -255,14 +257,14 @@
     def _send(self, router: _Router, request: _Request, engine: str) -> None:
         now_ms, prompt = self._now_ms, request.prompt
         model = router.models[engine]
-        parts = [(part.key, part.tokens) for part in model.parts_to_tell(prompt, now_ms)]
+        parts = [(part.key, part.tokens) for part in model.blocks_to_report(prompt, now_ms)]
         reading_ms = model.sent(request.name, prompt, now_ms)
-        router.shares.serve(request.workspace, prompt.charge, now_ms)
+        router.shares.record_service(request.workspace, prompt.charge, now_ms)
 
         def apply(other: _Router, at_ms: float) -> None:
-            other.models[engine].sent_elsewhere(reading_ms, at_ms)
-            other.models[engine].keep_named(parts, at_ms)
-            other.shares.serve(request.workspace, prompt.charge, at_ms)
+            other.models[engine].add_peer_work(reading_ms, at_ms)
+            other.models[engine].add_peer_blocks(parts, at_ms)
+            other.shares.record_service(request.workspace, prompt.charge, at_ms)
 
         router.queue_report(apply)
         begins_ms = self._engines[engine].take(prompt, now_ms)
@@ -274,7 +276,7 @@
         wait_ms, pace = model.wait_ms(now_ms), model.pace(now_ms)
 
         def apply(other: _Router, at_ms: float) -> None:
-            other.models[engine].seen_elsewhere(wait_ms, pace, at_ms)
+            other.models[engine].observe_peer(wait_ms, pace, at_ms)
 
         router.queue_report(apply)
         took_ms = now_ms - request.arrived_ms
--- a/tests/test_cache_inventory.py
+++ b/tests/test_cache_inventory.py
@@ -4,14 +4,14 @@
 
 from gateway_site import Fleet, play, until
 
-from tamarack_core.prompt import PromptPart
+from tamarack_core.prompt import PrefixBlock
 from tamarack_standins.platform_worker import PlatformWorker, Script
 
 STREAM = Script(events=2)
 
 
 def is_cached(fleet: Fleet, worker: PlatformWorker, part: str) -> bool:
-    return fleet.gateway.state.models[worker.name].keeps(PromptPart(f"m/{part}", 12_000))
+    return fleet.gateway.state.models[worker.name].caches(PrefixBlock(f"m/{part}", 12_000))
 
 
 def test_a_router_that_starts_sends_requests_to_engines_that_have_cached_their_blocks() -> None:
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -11,14 +11,14 @@
 from gateway_site import Answer, Fleet, configuration, connect, play, read_answer, until
 
 from tamarack_core.concurrency_limit import (
-    CUT,
-    CUT_EACH_MS,
+    DECREASE_FACTOR,
+    DECREASE_INTERVAL_MS,
     GROWTH,
     HIGH_MS,
     LATE_SAMPLES,
-    LEAST,
     LOW_MS,
-    OVER,
+    MIN_LIMIT,
+    OVER_LIMIT_FACTOR,
     ConcurrencyLimit,
 )
 from tamarack_core.loop_lag import SAMPLE_MS
@@ -38,33 +38,33 @@
     """A single pause of the process or a long callback does not decrease the limit."""
     limit = ConcurrencyLimit()
     for number in range(100):
-        limit.observe(4_000.0 if number % 2 else 0.0, 10, CUT_EACH_MS * number)
-    assert limit.most == math.inf
+        limit.observe(4_000.0 if number % 2 else 0.0, 10, DECREASE_INTERVAL_MS * number)
+    assert limit.limit == math.inf
 
 
 def test_there_is_no_limit_without_event_loop_lag() -> None:
     limit = ConcurrencyLimit()
     for number in range(100):
         limit.observe(LOW_MS - 1.0, 10 * number, SAMPLE_MS * number)
-    assert limit.most == math.inf
+    assert limit.limit == math.inf
 
 
 def test_the_limit_falls_with_event_loop_lag_to_its_lower_bound() -> None:
     limit = decreased_limit(200)
-    assert limit.most == CUT * 200
-    limit.observe(HIGH_MS + 1.0, 200, CUT_EACH_MS - 1.0)
-    assert limit.most == CUT * 200
+    assert limit.limit == DECREASE_FACTOR * 200
+    limit.observe(HIGH_MS + 1.0, 200, DECREASE_INTERVAL_MS - 1.0)
+    assert limit.limit == DECREASE_FACTOR * 200
     for number in range(1, 100):
-        limit.observe(HIGH_MS + 1.0, 200, CUT_EACH_MS * number)
-    assert limit.most == LEAST
+        limit.observe(HIGH_MS + 1.0, 200, DECREASE_INTERVAL_MS * number)
+    assert limit.limit == MIN_LIMIT
 
 
 def test_the_limit_grows_only_while_it_is_reached() -> None:
     limit = decreased_limit(100)
     limit.observe(0.0, 10, SAMPLE_MS)
-    assert limit.most == CUT * 100
+    assert limit.limit == DECREASE_FACTOR * 100
     limit.observe(0.0, 80, 2 * SAMPLE_MS)
-    assert limit.most == CUT * 100 + GROWTH
+    assert limit.limit == DECREASE_FACTOR * 100 + GROWTH
 
 
 def test_a_cpu_quota_of_half_a_core_does_not_decrease_the_limit() -> None:
@@ -72,7 +72,7 @@
     limit = ConcurrencyLimit()
     for number in range(1_000):
         limit.observe(48.0 if number % 2 else 0.0, 100, SAMPLE_MS * number)
-    assert limit.most == math.inf
+    assert limit.limit == math.inf
 
 
 STREAM_MS = 2_000.0
@@ -99,7 +99,7 @@
         took_ms = events * EVENT_MS
         for _ in range(min(ACCEPTS, len(queue))):
             read.append(now_ms - queue.popleft())
-            taken = limit is None or len(streams) < limit.most
+            taken = limit is None or len(streams) < limit.limit
             took_ms += PLACING_MS if taken else REFUSING_MS
             if taken:
                 streams.append(now_ms + STREAM_MS)
@@ -148,7 +148,7 @@
         draw.shuffle(callers)
         for name in callers:
             counts = Counter(name for _, name in running)
-            took = limit.takes(counts[name], len(running), len({*counts, name}))
+            took = limit.admits(counts[name], len(running), len({*counts, name}))
             if took:
                 running.append((now_ms + 100.0, name))
             if name == "small":
@@ -161,15 +161,15 @@
     """Failure: a full router refuses all workspaces, even those that do not fill it."""
     taken, asked, most = simulate_small_workspace(400, seconds=5.0)
     assert taken >= 0.9 * asked
-    assert most <= decreased_limit(50).most + 2
+    assert most <= decreased_limit(50).limit + 2
 
 
 def test_many_small_workspaces_do_not_exceed_the_limit() -> None:
     """Failure: a router with thousands of workspaces admits a request of each and is overloaded."""
     limit, running = decreased_limit(50), 0
-    while limit.takes(0, running, running + 1):
+    while limit.admits(0, running, running + 1):
         running += 1
-    assert limit.most <= running <= OVER * limit.most
+    assert limit.limit <= running <= OVER_LIMIT_FACTOR * limit.limit
 
 
 def test_a_full_router_admits_a_workspace_without_requests_in_progress(
@@ -185,7 +185,7 @@
             await fleet.store.put("op", "config", configuration(2, tenants=keys))
             router = fleet.gateway
             await until(lambda: router.state.rules is not None and router.state.rules.version == 2)
-            monkeypatch.setattr(router._watch._limit, "_most", 2.0)
+            monkeypatch.setattr(router._watch._limit, "_limit", 2.0)
 
             def ask(name: str, path: str) -> asyncio.Future[Answer]:
                 return asyncio.ensure_future(fleet.ask(path, Authorization=f"Token key-{name}"))
@@ -210,7 +210,7 @@
         engine.answering.clear()
         async with Fleet({"pool": [engine]}) as fleet:
             router = fleet.gateway
-            monkeypatch.setattr(router._watch._limit, "_most", 2.0)
+            monkeypatch.setattr(router._watch._limit, "_limit", 2.0)
             taken = [asyncio.ensure_future(fleet.ask("/draft/x", body=n)) for n in (b"1", b"2")]
             await until(lambda: router._watch.running == 2)
             reader, writer = await connect(router.callers)
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -11,7 +11,7 @@
 from gateway_site import Answer, Fleet, configuration, play, until
 
 from tamarack_core.endpoint_book import DOUBTED_MS, Endpoint, EndpointBook
-from tamarack_core.prompt import PromptPart
+from tamarack_core.prompt import PrefixBlock
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.outbox import Placed, Placements, Seen
 from tamarack_standins.fault_proxy import FaultProxy
@@ -19,7 +19,7 @@
 
 STREAM = Script(events=5)
 NEXT_BORN_MS = BORN_MS + 60_000
-PART = PromptPart("m/aa", 200)
+PART = PrefixBlock("m/aa", 200)
 
 
 def entry(name: str, life: int | None, *, draining: bool = False) -> Endpoint:
@@ -113,13 +113,13 @@
             state = fleet.gateway.state
             assert (await fleet.ask("/draft/1")).status == 200
             model, record = state.models["e1"], state.records["e1"]
-            assert model.keeps(PART)
-            model.seen_elsewhere(900.0, 3.0, state.clock.now_ms)
+            assert model.caches(PART)
+            model.observe_peer(900.0, 3.0, state.clock.now_ms)
             record.failed(state.clock.now_ms, 3.0)
             await restart(fleet, engine, "pool")
             now_ms = state.clock.now_ms
             model, record = state.models["e1"], state.records["e1"]
-            assert not model.keeps(PART)
+            assert not model.caches(PART)
             assert (model.wait_ms(now_ms), model.pace(now_ms)) == (0.0, 1.0)
             assert (record.failures(now_ms), record.outstanding) == (0.0, 0)
 
@@ -144,7 +144,7 @@
                 seen = Seen("e1", 800.0, 4.0, life)
                 fleet.gateway.state.take_placements(Placements([placed], {}, [seen]))
                 model, now_ms = state.models["e1"], state.clock.now_ms
-                return model.keeps(PART) or model.wait_ms(now_ms) > 0 or model.pace(now_ms) > 1
+                return model.caches(PART) or model.wait_ms(now_ms) > 0 or model.pace(now_ms) > 1
 
             assert not is_applied(NEXT_BORN_MS)
             await restart(fleet, engine, "pool")
@@ -244,9 +244,9 @@
             other.born = NEXT_BORN_MS
             async with fleet.router("router-2") as router:
                 await until(lambda: router.state.ready)
-                await until(lambda: router.state.models["e2"].keeps(PART))
+                await until(lambda: router.state.models["e2"].caches(PART))
                 await until(lambda: router._inventory.done)
-                assert not router.state.models["e1"].keeps(PART)
+                assert not router.state.models["e1"].caches(PART)
 
     play(run())
 
@@ -358,11 +358,11 @@
             await fleet.store.put("op", "config", value)
             await until(lambda: state.rules is not None and state.rules.version == 2)
             assert (await fleet.ask("/draft/1")).status == 200
-            assert not state.models["e1"].keeps(PART)
+            assert not state.models["e1"].caches(PART)
             value["services"][-1]["engine"]["kvCapacityTokens"] = 100_000
             await fleet.store.put("op", "config", {**value, "version": 3})
             await until(lambda: state.rules is not None and state.rules.version == 3)
             assert (await fleet.ask("/draft/1")).status == 200
-            assert state.models["e1"].keeps(PART)
+            assert state.models["e1"].caches(PART)
 
     play(run())
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -125,7 +125,7 @@
             now_ms, number, received_ms = heapq.heappop(self._events)
             if received_ms is None:
                 self._schedule_arrival(number, now_ms)
-                self._shares.ask(str(number), TOKENS, now_ms)
+                self._shares.record_demand(str(number), TOKENS, now_ms)
                 self.asked[number] += TOKENS * (now_ms >= FROM_MS)
             self._decide(number, now_ms, now_ms if received_ms is None else received_ms)
 
@@ -145,16 +145,16 @@
             shortest_aim_ms=1_000.0,
             waited_ms=now_ms - received_ms,
             left_ms=10_000.0,
-            returned=False,
+            retried=False,
             draw=0.0,
             **position._asdict(),
         )
-        if decision.verdict is Admission.HELD:
+        if decision.admission is Admission.HELD:
             heapq.heappush(self._events, (now_ms + decision.wait_ms, number, received_ms))
-        elif decision.verdict is Admission.ADMITTED:
+        elif decision.admission is Admission.ADMITTED:
             self._free_ms[engine] = begins_ms + reading_ms
             self.served[number] += TOKENS * (now_ms >= FROM_MS)
-            self._shares.serve(str(number), TOKENS, now_ms)
+            self._shares.record_service(str(number), TOKENS, now_ms)
 
 
 @settings(max_examples=40, derandomize=True, deadline=None)
@@ -182,9 +182,9 @@
     that its service, the divisor of the lead, is zero.
     """
     shares = WorkspaceShares(4_000.0, 0.0)
-    shares.ask("a", 1_000, 5_000.0)
-    shares.serve("a", 100, 5_000.0)
-    shares.ask("b", 1_000, 5_000.0)
+    shares.record_demand("a", 1_000, 5_000.0)
+    shares.record_service("a", 100, 5_000.0)
+    shares.record_demand("b", 1_000, 5_000.0)
     assert shares.position("a", 0.0, 5_100.0).lead >= 1.0
 
 
@@ -199,10 +199,10 @@
     leads = []
     while now_ms < 20_000.0:
         now_ms += 10
-        shares.ask("large", 2_000, now_ms)
-        shares.serve("large", 700, now_ms)
-        shares.ask("steady", 400 * part, now_ms)
-        shares.serve("steady", 100, now_ms)
+        shares.record_demand("large", 2_000, now_ms)
+        shares.record_service("large", 700, now_ms)
+        shares.record_demand("steady", 400 * part, now_ms)
+        shares.record_service("steady", 100, now_ms)
         if now_ms > 15_000:
             leads.append(shares.position("large", 20_000, now_ms).lead)
     assert min(leads) > 1.5
--- a/tests/test_gateway_core.py
+++ b/tests/test_gateway_core.py
@@ -11,9 +11,9 @@
 from tamarack_core.first_token import FIRST_TOKEN_MS
 from tamarack_core.key_freshness import KeyFreshness
 from tamarack_core.placement import choose_engine, choose_plain
-from tamarack_core.prompt import Prompt, PromptPart, parts_of
+from tamarack_core.prompt import PrefixBlock, Prompt, blocks_of
 from tamarack_core.retry_allowance import RetryAllowance
-from tamarack_core.return_detector import ReturnDetector
+from tamarack_core.return_detector import RetryDetector
 from tamarack_core.ruleset import RequestKind, Route, Ruleset, ServiceShare
 from tamarack_core.workspace_shares import WorkspaceShares
 from tamarack_gateway.event_splitter import BadStreamError, EventSplitter
@@ -36,7 +36,7 @@
 
 
 def make_prompt(shared: str, own: str, tokens: int = 13_000) -> Prompt:
-    parts = parts_of("m", [(shared, tokens), (own, 3_000)])
+    parts = blocks_of("m", [(shared, tokens), (own, 3_000)])
     return Prompt(tokens + 3_000, 100, parts)
 
 
@@ -156,12 +156,12 @@
     refusals.
     """
     model = EngineModel()
-    short = Prompt(500, 10, (PromptPart("m/short", 500),))
+    short = Prompt(500, 10, (PrefixBlock("m/short", 500),))
     for number in range(10):
         now_ms = 1_000.0 * number
         took_ms = model.sent(f"short-{number}", short, now_ms)
         model.first_event(f"short-{number}", now_ms + took_ms + 60.0)
-    long = Prompt(5_000, 10, (PromptPart("m/long", 5_000),))
+    long = Prompt(5_000, 10, (PrefixBlock("m/long", 5_000),))
     first_ms = model.sent("first", short, 20_000.0)
     behind_ms = model.sent("behind", long, 20_000.0)
     model.first_event("first", 20_060.0 + first_ms)
@@ -177,11 +177,11 @@
     model = EngineModel()
     for number in range(40):
         now_ms = 100.0 * number
-        model.sent_elsewhere(150.0, now_ms)
-        model.seen_elsewhere(20.0, 1.0, now_ms)
+        model.add_peer_work(150.0, now_ms)
+        model.observe_peer(20.0, 1.0, now_ms)
     assert model.wait_ms(4_000.0) < 200.0
     for _ in range(20):
-        model.seen_elsewhere(0.0, 2.0, 4_000.0)
+        model.observe_peer(0.0, 2.0, 4_000.0)
     assert model.pace(4_000.0) == pytest.approx(2.0, abs=0.1)
 
 
@@ -209,21 +209,21 @@
 def test_blocks_reported_by_an_engine_do_not_evict_more_recent_ones() -> None:
     model = EngineModel(memory_tokens=50_000)
     model.sent("r1", make_prompt("s", "a"), 0.0)
-    reported = [PromptPart("m/t", 12_000), PromptPart("m/u", 2_000), PromptPart("m/v", 1_000)]
-    model.keep_older(reported)
+    reported = [PrefixBlock("m/t", 12_000), PrefixBlock("m/u", 2_000), PrefixBlock("m/v", 1_000)]
+    model.add_reported_blocks(reported)
     assert model.unread_tokens(make_prompt("s", "b")) == 3_000
-    assert model.keeps(reported[0])
-    assert not model.keeps(reported[2])
+    assert model.caches(reported[0])
+    assert not model.caches(reported[2])
 
 
 def test_blocks_are_reported_at_most_once_per_interval() -> None:
     model = EngineModel()
     prompt = make_prompt("s", "a")
-    assert [part.key for part in model.parts_to_tell(prompt, 0.0)] == ["m/s"]
-    assert model.parts_to_tell(prompt, 2_900.0) == []
-    model.keep_named([("m/s", 13_000)], 2_950.0)
-    assert model.parts_to_tell(prompt, 3_100.0) == []
-    assert len(model.parts_to_tell(prompt, 6_000.0)) == 1
+    assert [part.key for part in model.blocks_to_report(prompt, 0.0)] == ["m/s"]
+    assert model.blocks_to_report(prompt, 2_900.0) == []
+    model.add_peer_blocks([("m/s", 13_000)], 2_950.0)
+    assert model.blocks_to_report(prompt, 3_100.0) == []
+    assert len(model.blocks_to_report(prompt, 6_000.0)) == 1
 
 
 def test_requests_that_share_a_block_use_one_engine_until_its_queue_is_long() -> None:
@@ -242,7 +242,7 @@
         choices.add(choice.endpoint.name)
     assert len(choices) == 1
     preferred = choices.pop()
-    models[preferred].sent_elsewhere(2_000.0, 0.0)
+    models[preferred].add_peer_work(2_000.0, 0.0)
     spilled = choose_engine(make_prompt("s", "a"), engines, models, records, 0.0)
     assert spilled is not None
     assert spilled.endpoint.name != preferred
@@ -261,8 +261,8 @@
         prompt = make_prompt(f"s{number}", "a")
         caching = choose_engine(prompt, old, models, records, 0.0)
         assert caching is not None
-        models[caching.endpoint.name].keep(prompt.parts[:-1])
-        models[caching.endpoint.name].sent_elsewhere(20.0, 0.0)
+        models[caching.endpoint.name].add_blocks(prompt.parts[:-1])
+        models[caching.endpoint.name].add_peer_work(20.0, 0.0)
         again = choose_engine(prompt, new, models, records, 0.0)
         assert again is not None
         assert again.endpoint == caching.endpoint
@@ -289,14 +289,14 @@
         "left_ms": 8_000.0,
         "standing": 0.0,
         "lead": 1.0,
-        "returned": False,
+        "retried": False,
         "draw": 0.0,
     }
     return admit(**{**options, **changes})
 
 
 def decide(**changes: float) -> bool:
-    return decision(**changes).verdict is Admission.ADMITTED
+    return decision(**changes).admission is Admission.ADMITTED
 
 
 def test_routes_with_long_targets_do_not_fill_queues_for_short_targets() -> None:
@@ -318,13 +318,13 @@
     A queue is slightly longer than a request's bound, and the router can only send or refuse.
     """
     held = decision(first_token_ms=560.0, aim_ms=1_600.0)
-    assert held.verdict is Admission.HELD
+    assert held.admission is Admission.HELD
     assert held.wait_ms == pytest.approx(500.0 - 0.85 * 400.0)
-    assert decision(first_token_ms=560.0, aim_ms=1_600.0, waited_ms=700.0).verdict is (
+    assert decision(first_token_ms=560.0, aim_ms=1_600.0, waited_ms=700.0).admission is (
         Admission.REFUSED
     )
-    assert decision(first_token_ms=1_900.0, aim_ms=1_600.0).verdict is Admission.REFUSED
-    assert decision(first_token_ms=560.0, aim_ms=1_600.0, standing=2.0).verdict is (
+    assert decision(first_token_ms=1_900.0, aim_ms=1_600.0).admission is Admission.REFUSED
+    assert decision(first_token_ms=560.0, aim_ms=1_600.0, standing=2.0).admission is (
         Admission.REFUSED
     )
 
@@ -340,14 +340,14 @@
 
     Queues are just too long for new requests, and retries have the same bound.
     """
-    detector = ReturnDetector()
-    assert [detector.returned("r", wait_ms) for wait_ms in (8_000.0, 7_900.0, 7_000.0)] == [
+    detector = RetryDetector()
+    assert [detector.is_retry("r", wait_ms) for wait_ms in (8_000.0, 7_900.0, 7_000.0)] == [
         False,
         False,
         True,
     ]
     assert not decide(first_token_ms=850.0)
-    assert decide(first_token_ms=850.0, returned=True)
+    assert decide(first_token_ms=850.0, retried=True)
 
 
 def test_a_long_prompt_is_not_refused_for_its_own_prefill() -> None:
@@ -375,8 +375,8 @@
     """
     shares = WorkspaceShares(4_000.0)
     for name, asked, served in (("flood", 9e6, 2.8e6), ("other", 2e6, 1e6), ("small", 1e5, 1e5)):
-        shares.ask(name, asked, 0.0)
-        shares.serve(name, served, 0.0)
+        shares.record_demand(name, asked, 0.0)
+        shares.record_service(name, served, 0.0)
     rate = 210_000.0
     assert shares.lead("flood", rate, 0.0) == pytest.approx(2.8)
     assert shares.lead("other", rate, 0.0) == 1.0
@@ -406,7 +406,7 @@
     follows from standing and lead nor the queue that exceeded it.
     """
     refused = decision(first_token_ms=200.0, standing=3.0, lead=2.0)
-    assert refused.verdict is Admission.REFUSED
+    assert refused.admission is Admission.REFUSED
     assert refused.queue_ms == pytest.approx(140.0)
     assert 0.0 < refused.bound_ms < refused.queue_ms
     held = decision(first_token_ms=560.0, aim_ms=1_600.0)
@@ -417,9 +417,9 @@
 def test_an_admission_shows_whether_an_idle_engine_was_the_reason() -> None:
     """Failure: logs do not show whether a workspace was admitted in spite of its lead."""
     free = decision(first_token_ms=73.0, standing=7.0, lead=1.5)
-    assert (free.verdict, free.reason) == (Admission.ADMITTED, FREE_ENGINE)
+    assert (free.admission, free.reason) == (Admission.ADMITTED, FREE_ENGINE)
     timely = decision(first_token_ms=70.0)
-    assert (timely.verdict, timely.reason) == (Admission.ADMITTED, "in time")
+    assert (timely.admission, timely.reason) == (Admission.ADMITTED, "in time")
 
 
 def test_a_restarted_router_knows_which_workspaces_exceed_their_share() -> None:
@@ -431,8 +431,8 @@
     for started_ms, standing in ((10_000.0, 2.5), (float("-inf"), 0.625)):
         shares = WorkspaceShares(4_000.0, started_ms)
         for workspace, tokens in (("flood", 2.5e6), ("other", 2.5e6)):
-            shares.ask(workspace, 4 * tokens, 10_900.0)
-            shares.serve(workspace, tokens, 10_900.0)
+            shares.record_demand(workspace, 4 * tokens, 10_900.0)
+            shares.record_service(workspace, tokens, 10_900.0)
         assert shares.standing("flood", 2e6, 11_000.0) == pytest.approx(standing)
 
 
@@ -445,8 +445,8 @@
     """
     shares = WorkspaceShares(4_000.0)
     for name, asked, served in (("a", 9e6, 2.2e6), ("b", 5e6, 2e6), ("small", 4e5, 3e5)):
-        shares.ask(name, asked, 0.0)
-        shares.serve(name, served, 0.0)
+        shares.record_demand(name, asked, 0.0)
+        shares.record_service(name, served, 0.0)
     rate = 150_000.0
     assert shares.standing("small", rate, 0.0) > 1.0
     assert shares.lead("a", rate, 0.0) == pytest.approx(1.1)
@@ -467,11 +467,11 @@
     shares = WorkspaceShares(4_000.0)
     for now_ms in range(0, 4_000, 200):
         stopped = now_ms >= 2_000
-        shares.ask("past", 0.0 if stopped else 600_000.0, now_ms)
-        shares.serve("past", 0.0 if stopped else 60_000.0, now_ms)
+        shares.record_demand("past", 0.0 if stopped else 600_000.0, now_ms)
+        shares.record_service("past", 0.0 if stopped else 60_000.0, now_ms)
         for name, served in (("little", 100_000.0), ("much", 250_000.0)):
-            shares.ask(name, 800_000.0, now_ms)
-            shares.serve(name, served, now_ms)
+            shares.record_demand(name, 800_000.0, now_ms)
+            shares.record_service(name, served, now_ms)
     assert shares.lead("little", 100_000.0, 3_900.0) == 1.0
     assert shares.lead("much", 100_000.0, 3_900.0) == pytest.approx(2.5)
 
@@ -479,8 +479,8 @@
 def test_the_workspaces_with_the_highest_demand_are_listed() -> None:
     shares = WorkspaceShares(4_000.0)
     for number in range(30):
-        shares.ask(f"w{number}", 1_000.0 * number, 0.0)
-        shares.serve(f"w{number}", 500.0 * number, 0.0)
+        shares.record_demand(f"w{number}", 1_000.0 * number, 0.0)
+        shares.record_service(f"w{number}", 500.0 * number, 0.0)
     rows = shares.largest(3, 10_000.0, 0.0)
     assert [row.workspace for row in rows] == ["w29", "w28", "w27"]
     assert (rows[0].asked, rows[0].served) == (29_000.0, 14_500.0)
@@ -491,8 +491,8 @@
 def test_workspaces_with_excess_demand_get_equal_shares() -> None:
     shares = WorkspaceShares(4_000.0)
     for workspace, tokens in (("small", 1_000.0), ("large", 9_000.0), ("larger", 30_000.0)):
-        shares.ask(workspace, tokens, 0.0)
-        shares.serve(workspace, tokens, 0.0)
+        shares.record_demand(workspace, tokens, 0.0)
+        shares.record_service(workspace, tokens, 0.0)
     assert shares.share(5_000.0, 0.0) == pytest.approx(10_000.0)
     assert shares.standing("larger", 5_000.0, 0.0) == pytest.approx(3.0)
     assert shares.standing("small", 5_000.0, 0.0) < 0.2
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -8,7 +8,7 @@
 import pytest
 from gateway_site import Fleet, connect, play, read_answer, until
 
-from tamarack_core.service_times import LEAST_READINGS
+from tamarack_core.service_times import MIN_SAMPLES
 from tamarack_standins.platform_worker import Arrived, PlatformWorker, Script
 
 TOKENS_PER_EVENT = 5
@@ -34,7 +34,7 @@
 
 async def observe_streams(fleet: Fleet, path: str, **more: str) -> None:
     """Have the router observe enough complete streams to predict their duration."""
-    answers = await asyncio.gather(*(fleet.ask(path, **more) for _ in range(LEAST_READINGS)))
+    answers = await asyncio.gather(*(fleet.ask(path, **more) for _ in range(MIN_SAMPLES)))
     assert all(answer.whole for answer in answers)
 
 
@@ -60,7 +60,7 @@
         assert (answer.status, answer.whole) == (503, True)
         assert float(answer.headers["retry-after"]) < 0.5
         assert answer.headers["connection"] == "close"
-        assert len(engine.arrived) == LEAST_READINGS + 1
+        assert len(engine.arrived) == MIN_SAMPLES + 1
 
     play(run())
 
@@ -81,7 +81,7 @@
             await until(lambda: fleet.gateway.state.leaving is not None)
             long = {"X_Token_Usage": "300,400", "X_Length_Hint": "120"}
             assert (await fleet.ask("/rewrite/2", **long)).status == 503
-            assert len(engine.arrived) == LEAST_READINGS
+            assert len(engine.arrived) == MIN_SAMPLES
             await leaving
 
     play(run())
@@ -101,7 +101,7 @@
             await observe_streams(fleet, "/draft/1")
             for engine in engines:
                 engine.rejects = 1
-            sent = LEAST_READINGS + 1
+            sent = MIN_SAMPLES + 1
             held = asyncio.ensure_future(fleet.ask("/draft/2", X_Token_Usage="300,300"))
             await until(lambda: sum(len(engine.arrived) for engine in engines) == sent)
             leaving = asyncio.ensure_future(fleet.gateway.leave())
--- a/tests/test_gateway_properties.py
+++ b/tests/test_gateway_properties.py
@@ -113,7 +113,7 @@
     st.booleans(),
 )
 def test_a_longer_queue_never_improves_the_decision(
-    shorter_ms: float, more_ms: float, aim_ms: float, standing: float, returned: bool
+    shorter_ms: float, more_ms: float, aim_ms: float, standing: float, retried: bool
 ) -> None:
     def verdict(queue_ms: float) -> Admission:
         return admit(
@@ -125,9 +125,9 @@
             left_ms=8_000.0,
             standing=standing,
             lead=max(1.0, standing / 2),
-            returned=returned,
+            retried=retried,
             draw=0.0,
-        ).verdict
+        ).admission
 
     order = [Admission.ADMITTED, Admission.HELD, Admission.REFUSED]
     assert order.index(verdict(shorter_ms)) <= order.index(verdict(shorter_ms + more_ms))
@@ -138,7 +138,7 @@
 def test_fair_shares_add_up_to_the_throughput(asked: dict[int, float]) -> None:
     shares = WorkspaceShares(4_000.0)
     for number, tokens in asked.items():
-        shares.ask(f"w{number}", tokens, 0.0)
+        shares.record_demand(f"w{number}", tokens, 0.0)
     capacity = 4.0 * 10_000.0
     share = shares.share(10_000.0, 0.0)
     granted = sum(min(tokens, share) for tokens in asked.values())
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -9,12 +9,12 @@
 from tamarack_core.engine_model import EngineModel
 from tamarack_core.first_token import FIRST_TOKEN_MS
 from tamarack_core.placement import (
-    AWAY_FROM_HOME_MS,
     FAILURE_PENALTY_MS,
-    READING_WEIGHT,
+    NOT_PREFERRED_PENALTY_MS,
+    PREFILL_WEIGHT,
     choose_engine,
 )
-from tamarack_core.prompt import Prompt, PromptPart
+from tamarack_core.prompt import PrefixBlock, Prompt
 from tamarack_core.rendezvous import score
 from tamarack_gateway.outbox import Outbox, PlacementSum
 
@@ -36,7 +36,7 @@
     for _ in range(1_000):
         outbox = Outbox()
         engine, workspace = f"e{draw.randrange(ENGINES)}", f"w{draw.randrange(WORKSPACES)}"
-        outbox.placed(engine, 50.0, [PromptPart(f"part-{draw.randrange(40)}", 5_000)])
+        outbox.placed(engine, 50.0, [PrefixBlock(f"part-{draw.randrange(40)}", 5_000)])
         outbox.asked("s", workspace, 100.0)
         outbox.served("s", workspace, 100.0)
         reading[engine] = reading.get(engine, 0.0) + 50.0
@@ -67,18 +67,18 @@
 def _compare_with_exhaustive_search(draw: random.Random) -> None:
     names = [f"e{number}" for number in range(ENGINES)]
     endpoints = [Endpoint(name, "s", f"{name}:1", "a", 16, False) for name in names]
-    parts = [PromptPart(f"part-{number}", draw.randrange(300, 14_000)) for number in range(6)]
+    parts = [PrefixBlock(f"part-{number}", draw.randrange(300, 14_000)) for number in range(6)]
     models = {name: EngineModel() for name in names}
     records = {name: EndpointRecord() for name in names}
     for name in names:
-        models[name].sent_elsewhere(draw.expovariate(1 / 200.0), NOW_MS)
-        models[name].seen_elsewhere(draw.expovariate(1 / 200.0), draw.uniform(0.6, 8.0), NOW_MS)
-        models[name].keep(tuple(draw.sample(parts, draw.choice((0, 0, 0, 1, 2)))))
+        models[name].add_peer_work(draw.expovariate(1 / 200.0), NOW_MS)
+        models[name].observe_peer(draw.expovariate(1 / 200.0), draw.uniform(0.6, 8.0), NOW_MS)
+        models[name].add_blocks(tuple(draw.sample(parts, draw.choice((0, 0, 0, 1, 2)))))
         models[name].running = draw.randrange(20)
         if draw.random() < 0.1:
             records[name].failed(NOW_MS)
     shared = tuple(draw.sample(parts, draw.choice((1, 2))))
-    own = PromptPart("own", draw.randrange(10, 5_000))
+    own = PrefixBlock("own", draw.randrange(10, 5_000))
     prompt = Prompt(sum(part.tokens for part in (*shared, own)), 100, (*shared, own))
     chosen = choose_engine(prompt, endpoints, models, records, NOW_MS)
     assert chosen is not None
@@ -95,13 +95,13 @@
 ) -> float:
     model, anchor = models[endpoint.name], prompt.anchor
     assert anchor is not None
-    cached = any(models[e.name].keeps(anchor) for e in endpoints)
+    cached = any(models[e.name].caches(anchor) for e in endpoints)
     preferred = None if cached else max(endpoints, key=lambda e: score(anchor.key, e.name))
     assumed = anchor.tokens if endpoint is preferred else 0
     reading_ms = model.reading_ms(prompt, assumed) * model.pace(NOW_MS)
-    cost = model.wait_ms(NOW_MS) + READING_WEIGHT * reading_ms + FIRST_TOKEN_MS
+    cost = model.wait_ms(NOW_MS) + PREFILL_WEIGHT * reading_ms + FIRST_TOKEN_MS
     cost += 25.0 * max(0, model.running + model.waiting + 1 - endpoint.slots)
     cost += FAILURE_PENALTY_MS * records[endpoint.name].failures(NOW_MS)
     if endpoint is not preferred and model.unread_tokens(prompt) >= prompt.tokens_in:
-        cost += AWAY_FROM_HOME_MS
+        cost += NOT_PREFERRED_PENALTY_MS
     return cost
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,9 +9,9 @@
 
 from tamarack_core.leaving import plan_leaving
 from tamarack_core.service_times import (
-    LEAST_READINGS,
     LEAST_TOKENS,
     MARGIN,
+    MIN_SAMPLES,
     WINDOW_MS,
     ServiceTimes,
 )
@@ -85,7 +85,7 @@
         for age_ms, took_ms, tokens in readings
         if stream.asked_ms - (stream.asked_ms - age_ms) <= WINDOW_MS
     ]
-    if len(recent) < LEAST_READINGS:
+    if len(recent) < MIN_SAMPLES:
         return stream.limit_ms
     generating_ms = max(recent) * max(LEAST_TOKENS, stream.tokens)
     return min(stream.limit_ms, MARGIN * (stream.first_token_ms + generating_ms))
@@ -102,7 +102,7 @@
 
 def test_samples_expire() -> None:
     times = ServiceTimes()
-    for _ in range(LEAST_READINGS):
+    for _ in range(MIN_SAMPLES):
         times.streamed(10_000.0, 100, 1_000.0)
     last_ms = 1_000.0 + WINDOW_MS
     assert times.longest_stream_ms(0.0, 100, 1e6, last_ms) == MARGIN * 10_000.0
@@ -111,7 +111,7 @@
 
 def test_short_streams_do_not_raise_the_estimate_of_long_ones() -> None:
     times = ServiceTimes()
-    for _ in range(LEAST_READINGS):
+    for _ in range(MIN_SAMPLES):
         times.streamed(300.0, 3, 0.0)
     assert times.longest_stream_ms(0.0, 500, 1e6, 0.0) == MARGIN * 300.0 / LEAST_TOKENS * 500
 
@@ -128,7 +128,7 @@
     times = ServiceTimes()
     assert times.longest_answer_ms(1_200.0, 0.0) == 1_200.0
     times.answered(200.0, 0.0)
-    for _ in range(LEAST_READINGS - 1):
+    for _ in range(MIN_SAMPLES - 1):
         assert times.longest_answer_ms(1_200.0, 1.0) == 1_200.0
         times.answered(40.0, 1.0)
     assert times.longest_answer_ms(1_200.0, 2.0) == MARGIN * 200.0
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -8,7 +8,7 @@
     CALM_SAMPLES,
     LATE_MS,
     LATE_SAMPLES,
-    SHED_MS,
+    REFUSE_MS,
     TAKE_MS,
     LoopLag,
 )
@@ -18,10 +18,10 @@
 
 def test_persistent_lag_is_an_overload_until_the_loop_has_been_calm() -> None:
     lag = LoopLag()
-    changed_state = [lag.woke(BEHIND_MS, 0.0) for _ in range(LATE_SAMPLES)]
+    changed_state = [lag.record_lag(BEHIND_MS, 0.0) for _ in range(LATE_SAMPLES)]
     assert changed_state == [False] * (LATE_SAMPLES - 1) + [True]
     assert (lag.overloaded, lag.overloads) == (True, 1)
-    changed_state = [lag.woke(0.0, 0.0) for _ in range(CALM_SAMPLES)]
+    changed_state = [lag.record_lag(0.0, 0.0) for _ in range(CALM_SAMPLES)]
     assert changed_state == [False] * (CALM_SAMPLES - 1) + [True]
     assert (lag.overloaded, lag.overloads) == (False, 1)
 
@@ -34,25 +34,25 @@
     """
     lag = LoopLag()
     for late_ms in (3_000.0, 0.0, BEHIND_MS, 0.0):
-        assert not lag.woke(late_ms, 0.0)
+        assert not lag.record_lag(late_ms, 0.0)
     assert not lag.overloaded
 
 
 def test_lag_between_the_thresholds_does_not_change_the_state() -> None:
     lag = LoopLag()
     between_ms = (CALM_MS + LATE_MS) / 2
-    assert not any(lag.woke(between_ms, 0.0) for _ in range(100))
+    assert not any(lag.record_lag(between_ms, 0.0) for _ in range(100))
     for _ in range(LATE_SAMPLES):
-        lag.woke(BEHIND_MS, 0.0)
-    assert not any(lag.woke(between_ms, 0.0) for _ in range(100))
+        lag.record_lag(BEHIND_MS, 0.0)
+    assert not any(lag.record_lag(between_ms, 0.0) for _ in range(100))
     assert lag.overloaded
 
 
 def test_the_reported_lag_is_a_decaying_peak() -> None:
     lag = LoopLag()
-    lag.woke(1_000.0, 0.0)
+    lag.record_lag(1_000.0, 0.0)
     for _ in range(100):
-        lag.woke(0.0, 0.0)
+        lag.record_lag(0.0, 0.0)
     assert lag.lag_ms < 10.0
     assert lag.most_ms == 1_000.0
 
@@ -64,14 +64,14 @@
     requests as long as its loop lags.
     """
     lag = LoopLag()
-    assert not lag.sheds(0.0)
+    assert not lag.should_refuse(0.0)
     for _ in range(LATE_SAMPLES):
-        lag.woke(BEHIND_MS, 1_000.0)
-    for begin_ms in (1_000.0, 1_000.0 + SHED_MS + TAKE_MS):
-        assert lag.sheds(begin_ms)
-        assert lag.sheds(begin_ms + SHED_MS - 1.0)
-        assert not lag.sheds(begin_ms + SHED_MS)
-        assert not lag.sheds(begin_ms + SHED_MS + TAKE_MS - 1.0)
+        lag.record_lag(BEHIND_MS, 1_000.0)
+    for begin_ms in (1_000.0, 1_000.0 + REFUSE_MS + TAKE_MS):
+        assert lag.should_refuse(begin_ms)
+        assert lag.should_refuse(begin_ms + REFUSE_MS - 1.0)
+        assert not lag.should_refuse(begin_ms + REFUSE_MS)
+        assert not lag.should_refuse(begin_ms + REFUSE_MS + TAKE_MS - 1.0)
 
 
 def test_callers_avoid_a_router_for_longer_than_they_use_an_answer() -> None:
@@ -83,9 +83,9 @@
     lag = LoopLag()
     assert not lag.avoid(0.0)
     for _ in range(LATE_SAMPLES):
-        lag.woke(BEHIND_MS, 1_000.0)
+        lag.record_lag(BEHIND_MS, 1_000.0)
     assert lag.avoid(1_000.0)
     for _ in range(CALM_SAMPLES):
-        lag.woke(0.0, 1_500.0)
+        lag.record_lag(0.0, 1_500.0)
     assert lag.avoid(1_500.0 + AVOID_MS - 1.0)
     assert not lag.avoid(1_500.0 + AVOID_MS)
--- a/tests/test_router_view.py
+++ b/tests/test_router_view.py
@@ -77,7 +77,7 @@
             assert (await fleet.ask("/draft/1")).status == 200
             shares, clock = fleet.gateway.state.shares.of("pool"), fleet.gateway.state.clock
             for number in range(40):
-                shares.ask(f"other-{number}", 1e6 + number, clock.now_ms)
+                shares.record_demand(f"other-{number}", 1e6 + number, clock.now_ms)
             reader, writer = await connect(fleet.gateway.metrics_address)
             writer.write(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
             text = (await read_answer(reader)).body.decode()
--- a/tests/test_service_shares.py
+++ b/tests/test_service_shares.py
@@ -12,7 +12,7 @@
 from tamarack_core.admission import Admission
 from tamarack_core.clock import HeldClock
 from tamarack_core.endpoint_book import Endpoint
-from tamarack_core.prompt import Prompt, parts_of
+from tamarack_core.prompt import Prompt, blocks_of
 from tamarack_core.ruleset import (
     EngineTraits,
     RequestKind,
@@ -28,7 +28,7 @@
 from tamarack_gateway.site import RequestFacts
 
 TOKENS_PER_S = 300_000.0
-PROMPT = Prompt(1_000, 60, parts_of("m", [("shared", 800), ("own", 200)]))
+PROMPT = Prompt(1_000, 60, blocks_of("m", [("shared", 800), ("own", 200)]))
 
 
 def make_state(clock: HeldClock, **engines: int) -> FleetState:
@@ -53,7 +53,7 @@
     gate = EngineGate(state, service, request, facts, route, workspace)
     placement = gate.place(state.usable(service), PROMPT, 4_000.0)
     assert placement is not None
-    return placement.decision.verdict
+    return placement.decision.admission
 
 
 def placements_of(**services: list[Tokens]) -> Placements:
@@ -67,7 +67,7 @@
     flood, other = Tokens("flood", 20_000_000, 4_000_000), Tokens("other", 9_000_000, 1_000_000)
     state.take_placements(placements_of(busy=[flood, other]))
     for name in ("busy-0", "busy-1"):
-        state.models[name].sent_elsewhere(30.0, clock.now_ms)
+        state.models[name].add_peer_work(30.0, clock.now_ms)
     assert verdict(state, "busy", "flood") is Admission.REFUSED
     assert verdict(state, "busy", "other") is not Admission.REFUSED
     assert verdict(state, "idle", "flood") is Admission.ADMITTED
