--- a/packages/bench/src/tamarack_bench/placement_bench.py
+++ b/packages/bench/src/tamarack_bench/placement_bench.py
@@ -6,8 +6,8 @@
 import time
 
 from tamarack_core.admitted_placement import Engines, Terms, place_admitted
-from tamarack_core.endpoint_book import Endpoint
 from tamarack_core.endpoint_record import EndpointRecord
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.engine_model import EngineModel
 from tamarack_core.prompt import PrefixBlock, Prompt
 from tamarack_core.workspace_shares import WorkspaceShares
--- a/packages/bench/src/tamarack_bench/quarantine_model.py
+++ b/packages/bench/src/tamarack_bench/quarantine_model.py
@@ -13,10 +13,10 @@
 from functools import partial
 from typing import NamedTuple
 
-from tamarack_core.end_evidence import Aboard, End, Evidence
-from tamarack_core.endpoint_book import EndpointLife
+from tamarack_core.endpoint_registry import EndpointIncarnation
 from tamarack_core.quarantine import Quarantine, Treatment
 from tamarack_core.rendezvous import winner
+from tamarack_core.termination_evidence import Evidence, InterruptedRequest, Termination
 
 SETTLE_STEP_MS = 50.0
 RESEND_MS = 15.0
@@ -134,7 +134,7 @@
         self.routers = [self._quarantine(name) for name in self._names]
         self._started_ms = [-CONTACT_MS] * options.routers
         self._lives = itertools.count(1)
-        self._engines: dict[EndpointLife, dict[int, _Send]] = {}
+        self._engines: dict[EndpointIncarnation, dict[int, _Send]] = {}
         self._numbers = itertools.count()
         self._arrivals: dict[str, list[_Arrival]] = {}
         self._counts: Counter[str] = Counter()
@@ -169,7 +169,7 @@
         self._started_ms[number] = self._now_ms
         if rows:
             for request in before.unstored():
-                fresh.take_in(request, self._now_ms, stored=True)
+                fresh.add(request, self._now_ms, stored=True)
 
     def at(self, at_ms: float, act: Callable[[], None]) -> None:
         """Have something happen at a time."""
@@ -190,7 +190,7 @@
 
     def _settle(self) -> None:
         for number, router in enumerate(self.routers):
-            verdicts = router.settle(self._now_ms)
+            verdicts = router.decide_due(self._now_ms)
             if verdicts:
                 self._tell(number, Evidence([], [], verdicts))
         self._in(SETTLE_STEP_MS, self._settle)
@@ -202,7 +202,7 @@
                 router.ended(end, self._now_ms)
             router.cleared(evidence.cleared)
             for request in evidence.quarantined:
-                router.take_in(request, self._now_ms)
+                router.add(request, self._now_ms)
 
         for number in range(len(self.routers)):
             if number != teller:
@@ -226,7 +226,7 @@
     def _send(self, request: _Request, router: int) -> None:
         quarantine, apart = self.routers[router], False
         if self._watching and quarantine.watching:
-            standing = quarantine.look(request.fingerprint, "shop", self._now_ms)
+            standing = quarantine.treatment_of(request.fingerprint, "shop", self._now_ms)
             if standing.treatment is Treatment.QUARANTINED:
                 self._over(request, "quarantined")
                 return
@@ -239,13 +239,13 @@
             return
         keys = list(self._engines)
         if apart:
-            key = quarantine.place(request.fingerprint, keys)
+            key = quarantine.choose_endpoint(request.fingerprint, keys)
             quarantine.begun(request.fingerprint, key)
         else:
             key = min(keys, key=lambda k: len(self._engines[k]) + 4 * self._random.random())
         self._run(request, router, key, apart)
 
-    def _run(self, request: _Request, router: int, key: EndpointLife, apart: bool) -> None:
+    def _run(self, request: _Request, router: int, key: EndpointIncarnation, apart: bool) -> None:
         request.sends += 1
         queue_ms = self._random.uniform(10.0, 400.0)
         send = _Send(request, router, self._now_ms + queue_ms)
@@ -259,7 +259,7 @@
             return
         self._in(queue_ms + self._random.uniform(500, 4_000), partial(self._answer, key, send))
 
-    def _answer(self, key: EndpointLife, send: _Send) -> None:
+    def _answer(self, key: EndpointIncarnation, send: _Send) -> None:
         if self._engines.get(key, {}).pop(id(send), None) is None:
             return
         router = self.routers[send.router]
@@ -268,7 +268,7 @@
             self._tell(send.router, Evidence([], [send.request.fingerprint], []))
         self._over(send.request, "served")
 
-    def _leave(self, key: EndpointLife, send: _Send) -> None:
+    def _leave(self, key: EndpointIncarnation, send: _Send) -> None:
         if send.apart:
             self.routers[send.router].finished(send.request.fingerprint, key)
 
@@ -288,9 +288,9 @@
 
     def _come_back(self) -> None:
         number = next(self._lives)
-        self._engines[EndpointLife(f"e{number}", number)] = {}
+        self._engines[EndpointIncarnation(f"e{number}", number)] = {}
 
-    def _end(self, key: EndpointLife, cause: _Send) -> None:
+    def _end(self, key: EndpointIncarnation, cause: _Send) -> None:
         if id(cause) in self._engines.get(key, {}):
             self._counts["ends"] += 1
             self._break(key, together=False)
@@ -300,7 +300,7 @@
         for key in self._random.sample(keys, (len(keys) + 1) // 2):
             self._break(key, together=True)
 
-    def _break(self, key: EndpointLife, *, together: bool) -> None:
+    def _break(self, key: EndpointIncarnation, *, together: bool) -> None:
         self.ended_ms.append(self._now_ms)
         sends = list(self._engines.pop(key).values())
         self._in(self._options.back_ms, self._come_back)
@@ -311,12 +311,16 @@
             seen_ms = self._random.uniform(0.0, self._options.seen_ms)
             self._in(seen_ms, partial(self._see, router, key, own, together))
 
-    def _see(self, router: int, key: EndpointLife, sends: list[_Send], together: bool) -> None:
+    def _see(
+        self, router: int, key: EndpointIncarnation, sends: list[_Send], together: bool
+    ) -> None:
         aboard = [
-            Aboard(send.request.fingerprint, "shop", self._now_ms - send.begins_ms < EARLY_MS)
+            InterruptedRequest(
+                send.request.fingerprint, "shop", self._now_ms - send.begins_ms < EARLY_MS
+            )
             for send in sends
         ]
-        end = End(key.name, key.life, together, aboard)
+        end = Termination(key.name, key.life, together, aboard)
         self.routers[router].ended(end, self._now_ms)
         self._tell(router, Evidence([end], [], []))
         for send in sends:
--- a/packages/bench/src/tamarack_bench/quarantine_scenarios.py
+++ b/packages/bench/src/tamarack_bench/quarantine_scenarios.py
@@ -6,9 +6,9 @@
 
 from tamarack_bench.quarantine_model import ModelOptions, ModelResult, QuarantineModel
 from tamarack_bench.scenarios import Options, Reading, scenario
-from tamarack_core.end_evidence import Aboard, End
 from tamarack_core.fingerprint import fingerprint
 from tamarack_core.quarantine import SETTLE_MS, Quarantine
+from tamarack_core.termination_evidence import InterruptedRequest, Termination
 
 SEEDS = 5
 LOOKS = 4_000
@@ -63,15 +63,15 @@
     quarantine = Quarantine(lambda name: False)
     for number in range(suspects):
         # Workspaces of their own, so that as many as possible stay in the table.
-        aboard = [Aboard(f"f{number}", f"w{number % 100}", True)]
-        quarantine.ended(End(f"e{number}", number, False, aboard), number * SETTLE_MS)
-        quarantine.settle((number + 1) * SETTLE_MS)
+        aboard = [InterruptedRequest(f"f{number}", f"w{number % 100}", True)]
+        quarantine.ended(Termination(f"e{number}", number, False, aboard), number * SETTLE_MS)
+        quarantine.decide_due((number + 1) * SETTLE_MS)
     now_ms = suspects * SETTLE_MS
     started = time.perf_counter()
     for number in range(LOOKS):
         if quarantine.watching:
             name = fingerprint("shop", "shop.example", b"POST", b"/draft/%d" % number, BODY)
-            quarantine.look(name, "shop", now_ms)
+            quarantine.treatment_of(name, "shop", now_ms)
             quarantine.answered(name)
     return (time.perf_counter() - started) / LOOKS * 1e6
 
--- a/packages/core/src/tamarack_core/admitted_placement.py
+++ b/packages/core/src/tamarack_core/admitted_placement.py
@@ -12,8 +12,8 @@
     admit,
     relaxed_standing,
 )
-from tamarack_core.endpoint_book import Endpoint
 from tamarack_core.endpoint_record import EndpointRecord
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.engine_model import EngineModel
 from tamarack_core.placement import IDLE_ENGINE_QUEUE_MS, Choice, choose_engine, choose_free
 from tamarack_core.prompt import Prompt
--- a/packages/core/src/tamarack_core/endpoint_book.py
+++ b/packages/core/src/tamarack_core/endpoint_registry.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class EndpointLife(NamedTuple):
+class EndpointIncarnation(NamedTuple):
     """Key of one incarnation of an endpoint; `life` is None if its entry does not name one."""
 
     name: str
@@ -42,16 +42,16 @@
     life: int | None = None
 
     @property
-    def key(self) -> EndpointLife:
+    def key(self) -> EndpointIncarnation:
         """Key of this incarnation; local state about it applies to no other one."""
-        return EndpointLife(self.name, self.life)
+        return EndpointIncarnation(self.name, self.life)
 
     def older_than(self, other: Endpoint) -> bool:
         """Whether this is an earlier incarnation of the same endpoint."""
         return self.life is not None and other.life is not None and self.life < other.life
 
 
-DOUBTED_MS = 4_000.0
+DEFERRED_MS = 4_000.0
 """Milliseconds for which an entry of an older incarnation than the known one is not applied. A
 delayed write of the former incarnation is overwritten by the current one's next heartbeat, some
 1.2 s later, and three missed heartbeats remove an entry. An entry that is still listed after that
@@ -59,7 +59,7 @@
 notice that it drains would be ignored."""
 
 
-class EndpointBook:
+class EndpointRegistry:
     """Endpoints that may get new requests.
 
     While the store is unavailable, entries expire because endpoints cannot write their heartbeats:
@@ -121,7 +121,7 @@
         self._rebuild()
 
     @property
-    def lifeless(self) -> list[str]:
+    def without_incarnation(self) -> list[str]:
         """Entries that are not used because they name no incarnation although most entries do."""
         return self._without_incarnation
 
@@ -167,7 +167,7 @@
         if known is None or not endpoint.older_than(known):
             self._deferred.pop(endpoint.name, None)
             return endpoint
-        _, until_ms = self._deferred.get(endpoint.name, (endpoint, now_ms + DOUBTED_MS))
+        _, until_ms = self._deferred.get(endpoint.name, (endpoint, now_ms + DEFERRED_MS))
         self._deferred[endpoint.name] = (endpoint, until_ms)
         return known
 
@@ -181,8 +181,10 @@
         by_service: dict[str, list[Endpoint]] = {}
         kept = [endpoint for endpoint, _ in self._retained.values()]
         present = [*self._listed.values(), *kept]
-        lifeless = {endpoint.name for endpoint in present if endpoint.life is None}
-        self._without_incarnation = sorted(lifeless) if 2 * len(lifeless) < len(present) else []
+        without_incarnation = {endpoint.name for endpoint in present if endpoint.life is None}
+        self._without_incarnation = (
+            sorted(without_incarnation) if 2 * len(without_incarnation) < len(present) else []
+        )
         for endpoint in present:
             if not endpoint.draining and endpoint.name not in self._without_incarnation:
                 by_service.setdefault(endpoint.service, []).append(endpoint)
--- a/packages/core/src/tamarack_core/placement.py
+++ b/packages/core/src/tamarack_core/placement.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from tamarack_core.endpoint_book import Endpoint
 from tamarack_core.endpoint_record import EndpointRecord
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.engine_model import PACE_MIN, EngineModel, prefill_ms_of
 from tamarack_core.first_token import FIRST_TOKEN_MS
 from tamarack_core.prompt import PrefixBlock, Prompt
--- a/packages/core/src/tamarack_core/quarantine.py
+++ b/packages/core/src/tamarack_core/quarantine.py
@@ -9,7 +9,7 @@
 Routers report to each other the crashes that they detect, and each router decides on its own from
 the same evidence; decisions are also published, and written to the platform's store.
 
-"End" in identifiers is a crash or another termination of an endpoint.
+"Ends" in field names are crashes and other terminations of endpoints.
 """
 
 from __future__ import annotations
@@ -19,11 +19,10 @@
 from enum import Enum
 from typing import NamedTuple, TypeVar
 
-from tamarack_core.end_evidence import End, QuarantinedRequest
-from tamarack_core.endpoint_book import EndpointLife
+from tamarack_core.endpoint_registry import EndpointIncarnation
 from tamarack_core.quarantine_records import (
     USUAL_BOUNDS,
-    OpenEnd,
+    PendingTermination,
     QuarantineBounds,
     Quarantined,
     QuarantinedReading,
@@ -31,6 +30,7 @@
     SuspectReading,
 )
 from tamarack_core.rendezvous import score
+from tamarack_core.termination_evidence import QuarantinedRequest, Termination
 from tamarack_core.workspace_table import WorkspaceTable
 
 Key = TypeVar("Key")
@@ -56,8 +56,7 @@
 interrupted requests within some 30 ms, by relays within 0.2 s, and some detect it 0.1 s later."""
 
 FORGET_MS = 3_600_000.0
-"""Milliseconds after its last crash that a suspect is remembered; one sent each half hour is still
-detected."""
+"""Milliseconds a suspect is remembered after its last crash; one sent each half hour is found."""
 
 MANY_QUARANTINED = 8
 """Quarantined requests of one workspace from which on its other requests are isolated before they
@@ -72,8 +71,7 @@
 """Maximum number of undecided crashes; more than the largest site has engines."""
 
 BUSY_WAIT_MS = 50.0
-"""Milliseconds after which a repeat of a suspect that is running isolated here is evaluated
-again."""
+"""Milliseconds until a repeat of a suspect that runs isolated here is evaluated again."""
 
 
 class Treatment(Enum):
@@ -86,14 +84,14 @@
     QUARANTINED = "quarantined"
 
 
-class Standing(NamedTuple):
+class Handling(NamedTuple):
     """Treatment of a request; `wait_ms` is the time until it should be evaluated again."""
 
     treatment: Treatment
     wait_ms: float = 0.0
 
 
-FREE = Standing(Treatment.FREE)
+FREE = Handling(Treatment.FREE)
 
 
 class Quarantine:
@@ -108,7 +106,7 @@
     ----------
     refused, ends_seen
         Number of refusals of quarantined requests, and number of crashes known to this router.
-    yielded
+    evicted
         Quarantined requests evicted from the table, until they are deleted from the store.
     """
 
@@ -117,8 +115,8 @@
     ) -> None:
         self._tries = tries
         self._bounds = bounds
-        self._ends: dict[EndpointLife, OpenEnd] = {}
-        self._settled: dict[EndpointLife, float] = {}
+        self._ends: dict[EndpointIncarnation, PendingTermination] = {}
+        self._settled: dict[EndpointIncarnation, float] = {}
         self._suspects: WorkspaceTable[Suspect] = WorkspaceTable(
             most=MOST_SUSPECTS, most_of_one=MOST_SUSPECTS_OF_ONE
         )
@@ -127,10 +125,10 @@
         )
         self._waiting: Counter[str] = Counter()
         self._running: Counter[str] = Counter()
-        self._occupied: Counter[EndpointLife] = Counter()
+        self._occupied: Counter[EndpointIncarnation] = Counter()
         self.refused = 0
         self.ends_seen = 0
-        self.yielded: list[str] = []
+        self.evicted: list[str] = []
 
     @property
     def watching(self) -> bool:
@@ -139,7 +137,7 @@
 
     # evidence
 
-    def ended(self, end: End, now_ms: float) -> None:
+    def ended(self, end: Termination, now_ms: float) -> None:
         """Record a crash reported by a router; several routers may report the same one."""
         if end.key in self._settled:
             # A report after the decision: its requests were not part of the evidence.
@@ -148,7 +146,7 @@
         if known is None:
             if len(self._ends) >= MOST_ENDS:
                 return
-            known = self._ends[end.key] = OpenEnd(now_ms)
+            known = self._ends[end.key] = PendingTermination(now_ms)
             self.ends_seen += 1
         known.together = known.together or end.together
         for fingerprint, workspace, early in end.aboard:
@@ -174,7 +172,7 @@
             self._entries.pop(fingerprint)
             self._clear(fingerprint)
 
-    def settle(self, now_ms: float) -> list[QuarantinedRequest]:
+    def decide_due(self, now_ms: float) -> list[QuarantinedRequest]:
         """Decide on the crashes that are due; returns the requests quarantined from now on."""
         due = [key for key, end in self._ends.items() if now_ms - end.first_ms >= SETTLE_MS]
         decisions: list[QuarantinedRequest] = []
@@ -187,13 +185,13 @@
         return decisions
 
     @property
-    def next_verdict_ms(self) -> float | None:
+    def next_decision_ms(self) -> float | None:
         """When the next decision is due; None if there is none."""
         return min((end.first_ms + SETTLE_MS for end in self._ends.values()), default=None)
 
     # decisions
 
-    def take_in(self, request: QuarantinedRequest, now_ms: float, *, stored: bool = False) -> bool:
+    def add(self, request: QuarantinedRequest, now_ms: float, *, stored: bool = False) -> bool:
         """Quarantine a request by another router's decision; returns whether that is new."""
         known = self._entries.get(request.fingerprint)
         if known is not None and known.trials >= request.trials:
@@ -211,7 +209,7 @@
         self._clear(fingerprint)
         return self._entries.pop(fingerprint) is not None
 
-    def keep_stored(self, fingerprints: set[str]) -> list[str]:
+    def retain_stored(self, fingerprints: set[str]) -> list[str]:
         """Release what the store no longer lists, except for what was never stored there."""
         stale = [f for f, entry in self._entries.items() if entry.stored and f not in fingerprints]
         for fingerprint in stale:
@@ -234,7 +232,7 @@
 
     # requests
 
-    def look(self, fingerprint: str, workspace: str, now_ms: float) -> Standing:
+    def treatment_of(self, fingerprint: str, workspace: str, now_ms: float) -> Handling:
         """Treatment of a request now; called before each send."""
         entry = self._entries.get(fingerprint)
         if entry is not None:
@@ -245,22 +243,24 @@
         if weight + waiting < APART_WEIGHT:
             return FREE
         if waiting and weight + waiting >= self._bounds.ends:
-            return Standing(Treatment.WAIT, self._decision_in_ms(fingerprint, now_ms))
+            return Handling(Treatment.WAIT, self._decision_in_ms(fingerprint, now_ms))
         if self._running[fingerprint]:
-            return Standing(Treatment.WAIT, BUSY_WAIT_MS)
-        return Standing(Treatment.APART)
+            return Handling(Treatment.WAIT, BUSY_WAIT_MS)
+        return Handling(Treatment.APART)
 
-    def begun(self, fingerprint: str, key: EndpointLife) -> None:
+    def begun(self, fingerprint: str, key: EndpointIncarnation) -> None:
         """Record that a request is sent isolated from other suspects."""
         self._running[fingerprint] += 1
         self._occupied[key] += 1
 
-    def finished(self, fingerprint: str, key: EndpointLife) -> None:
+    def finished(self, fingerprint: str, key: EndpointIncarnation) -> None:
         """Record that such a request has finished; called once for each `begun`."""
         _decrement(self._running, fingerprint)
         _decrement(self._occupied, key)
 
-    def place(self, fingerprint: str, keys: list[EndpointLife]) -> EndpointLife:
+    def choose_endpoint(
+        self, fingerprint: str, keys: list[EndpointIncarnation]
+    ) -> EndpointIncarnation:
         """Choose the endpoint for a suspect from the given ones.
 
         Prefers endpoints where this router runs no other suspect; among these it uses rendezvous
@@ -308,8 +308,8 @@
     def _suspect(self, fingerprint: str, workspace: str, now_ms: float) -> None:
         suspect = self._suspects.get(fingerprint) or Suspect(workspace)
         suspect.last_ms = now_ms
-        for yielded in self._suspects.put(fingerprint, workspace, suspect):
-            self._waiting.pop(yielded, None)
+        for evicted in self._suspects.put(fingerprint, workspace, suspect):
+            self._waiting.pop(evicted, None)
 
     def _clear(self, fingerprint: str) -> None:
         # Also from undecided crashes: an answer is stronger evidence than having been there.
@@ -325,16 +325,16 @@
         times = [end.first_ms for end in self._ends.values() if fingerprint in end.aboard]
         return max(1.0, max(times, default=now_ms) + SETTLE_MS - now_ms)
 
-    def _treat_entry(self, fingerprint: str, entry: Quarantined, now_ms: float) -> Standing:
+    def _treat_entry(self, fingerprint: str, entry: Quarantined, now_ms: float) -> Handling:
         paused = now_ms < entry.tried_at_ms(self._bounds.first_pause_ms)
         if paused or not self._tries(fingerprint):
             self.refused += 1
-            return Standing(Treatment.QUARANTINED)
+            return Handling(Treatment.QUARANTINED)
         # This request is the trial; repeats are still refused meanwhile.
         entry.since_ms, entry.on_trial = now_ms, True
-        return Standing(Treatment.TRIAL)
+        return Handling(Treatment.TRIAL)
 
-    def _decide(self, end: OpenEnd, now_ms: float) -> list[QuarantinedRequest]:
+    def _decide(self, end: PendingTermination, now_ms: float) -> list[QuarantinedRequest]:
         for fingerprint in end.aboard:
             _decrement(self._waiting, fingerprint)
         known = [(f, entry) for f in end.aboard if (entry := self._entries.get(f)) is not None]
@@ -357,7 +357,7 @@
         suspect = self._suspects.get(fingerprint)
         return 0.0 if suspect is None else suspect.weight + self._prior(suspect.workspace)
 
-    def _add_weight(self, fingerprint: str, end: OpenEnd, *, early: bool) -> None:
+    def _add_weight(self, fingerprint: str, end: PendingTermination, *, early: bool) -> None:
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return
@@ -382,7 +382,7 @@
         entry = Quarantined(request.workspace, request.trials, now_ms)
         entry.stored = stored
         self._suspects.pop(request.fingerprint)
-        self.yielded += self._entries.put(request.fingerprint, request.workspace, entry)
+        self.evicted += self._entries.put(request.fingerprint, request.workspace, entry)
         return request
 
     def _forget(self, now_ms: float) -> None:
--- a/packages/core/src/tamarack_core/quarantine_records.py
+++ b/packages/core/src/tamarack_core/quarantine_records.py
@@ -72,7 +72,7 @@
         return self.since_ms + min(max(LONGEST_PAUSE_MS, first_pause_ms), extended_ms)
 
 
-class OpenEnd:
+class PendingTermination:
     """An undecided crash; `aboard` maps fingerprints to whether the request had only begun."""
 
     __slots__ = ("aboard", "first_ms", "together")
--- a/packages/core/src/tamarack_core/relay_plan.py
+++ b/packages/core/src/tamarack_core/relay_plan.py
@@ -92,12 +92,12 @@
         self._rankings, self._links = {}, {}
         self._reported_ms = max(self._reported_ms, now_ms)
 
-    def relay_heard(self, router: str, now_ms: float) -> None:
+    def record_relay(self, router: str, now_ms: float) -> None:
         """Record that a router published as a relay."""
         if router in self._last_heard_ms:
             self._last_heard_ms[router] = now_ms
 
-    def report_heard(self, now_ms: float) -> None:
+    def record_report(self, now_ms: float) -> None:
         """Record that a router of this failure domain reported to this one."""
         self._reported_ms = now_ms
 
@@ -121,7 +121,7 @@
                 addresses.update(peer.address for peer in self.candidates(domain))
         return Links(frozenset(addresses), frozenset((own,)) if relays else frozenset(), relays)
 
-    def speaks(self, now_ms: float) -> bool:
+    def should_publish(self, now_ms: float) -> bool:
         """Whether this router, if it is the relay, should publish.
 
         A relay that receives nothing from its own failure domain is partitioned from it in one
--- a/packages/core/src/tamarack_core/end_evidence.py
+++ b/packages/core/src/tamarack_core/termination_evidence.py
@@ -4,10 +4,10 @@
 
 from typing import NamedTuple
 
-from tamarack_core.endpoint_book import EndpointLife
+from tamarack_core.endpoint_registry import EndpointIncarnation
 
 
-class Aboard(NamedTuple):
+class InterruptedRequest(NamedTuple):
     """A request that was in progress at an endpoint when it terminated.
 
     Attributes
@@ -22,7 +22,7 @@
     early: bool
 
 
-class End(NamedTuple):
+class Termination(NamedTuple):
     """Termination of one incarnation of an endpoint, as detected by one router.
 
     Attributes
@@ -40,13 +40,13 @@
     endpoint: str
     life: int | None
     together: bool
-    aboard: list[Aboard]
+    aboard: list[InterruptedRequest]
     refused: bool = True
 
     @property
-    def key(self) -> EndpointLife:
+    def key(self) -> EndpointIncarnation:
         """The incarnation that terminated."""
-        return EndpointLife(self.endpoint, self.life)
+        return EndpointIncarnation(self.endpoint, self.life)
 
 
 class QuarantinedRequest(NamedTuple):
@@ -72,6 +72,6 @@
         Fingerprints of suspects that were answered completely.
     """
 
-    ends: list[End] = []
+    ends: list[Termination] = []
     cleared: list[str] = []
     quarantined: list[QuarantinedRequest] = []
--- a/packages/gateway/src/tamarack_gateway/cache_inventory.py
+++ b/packages/gateway/src/tamarack_gateway/cache_inventory.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from tamarack_core.endpoint_book import Endpoint
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.engine_model import BLOCK_REPORT_MIN_TOKENS
 from tamarack_gateway.connection_pool import ConnectionPool
 from tamarack_gateway.endpoint_connection import BrokenAnswerError, ConnectError
--- a/packages/gateway/src/tamarack_gateway/connection_pool.py
+++ b/packages/gateway/src/tamarack_gateway/connection_pool.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from tamarack_core.clock import Clock
-from tamarack_core.endpoint_book import Endpoint, EndpointLife
+from tamarack_core.endpoint_registry import Endpoint, EndpointIncarnation
 from tamarack_gateway.endpoint_connection import EndpointConnection, open_connection
 
 CONNECT_MS = 600.0
@@ -26,7 +26,7 @@
 class _Target(NamedTuple):
     """Peer of a connection: an incarnation of an endpoint, and its address."""
 
-    key: EndpointLife
+    key: EndpointIncarnation
     address: str
 
 
@@ -55,7 +55,7 @@
         self.lapsed = 0
         self.closed = 0
 
-    def idle(self, key: EndpointLife) -> int:
+    def idle(self, key: EndpointIncarnation) -> int:
         """Number of idle connections to one incarnation of an endpoint."""
         return sum(len(idle) for target, idle in self._idle.items() if target.key == key)
 
@@ -98,7 +98,7 @@
         else:
             connection.abort()
 
-    def sweep(self, lives: Callable[[EndpointLife], bool]) -> None:
+    def sweep(self, lives: Callable[[EndpointIncarnation], bool]) -> None:
         """Close connections that were idle for too long or belong to an ended incarnation.
 
         Parameters
--- a/packages/gateway/src/tamarack_gateway/end_witness.py
+++ b/packages/gateway/src/tamarack_gateway/end_witness.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from tamarack_core.end_evidence import Aboard, End
-from tamarack_core.endpoint_book import Endpoint, EndpointLife
+from tamarack_core.endpoint_registry import Endpoint, EndpointIncarnation
+from tamarack_core.termination_evidence import InterruptedRequest, Termination
 from tamarack_gateway.connection_pool import ConnectionPool
 from tamarack_gateway.endpoint_connection import ConnectError, RefusedError, open_connection
 from tamarack_gateway.fleet_state import FleetState
@@ -51,7 +51,7 @@
 class _BrokenAnswer(NamedTuple):
     """An answer that broke off at `at_ms`, to a request sent at `sent_ms`."""
 
-    aboard: Aboard
+    aboard: InterruptedRequest
     at_ms: float
     sent_ms: float
 
@@ -115,16 +115,16 @@
     """
 
     def __init__(
-        self, state: FleetState, pool: ConnectionPool, *, took: Callable[[End], None]
+        self, state: FleetState, pool: ConnectionPool, *, took: Callable[[Termination], None]
     ) -> None:
         self._state = state
         self._pool = pool
         self._on_termination = took
-        self._checks: dict[EndpointLife, _Check] = {}
-        self._unconfirmed: dict[EndpointLife, _Check] = {}
+        self._checks: dict[EndpointIncarnation, _Check] = {}
+        self._unconfirmed: dict[EndpointIncarnation, _Check] = {}
         state.on_life_over = self._incarnation_over
 
-    async def lost(self, endpoint: Endpoint, aboard: Aboard, sent_ms: float) -> bool:
+    async def lost(self, endpoint: Endpoint, aboard: InterruptedRequest, sent_ms: float) -> bool:
         """Record that an answer broke off; returns whether its endpoint has terminated.
 
         Parameters
@@ -214,7 +214,7 @@
             if not old.lost:
                 del self._unconfirmed[key]
 
-    def _incarnation_over(self, key: EndpointLife, replaced: bool) -> None:
+    def _incarnation_over(self, key: EndpointIncarnation, replaced: bool) -> None:
         check = self._unconfirmed.pop(key, None)
         now_ms = self._state.clock.now_ms
         if (
@@ -232,4 +232,4 @@
 
     def _report(self, check: _Check, lost: list[_BrokenAnswer]) -> None:
         key, aboard = check.endpoint.key, [one.aboard for one in lost]
-        self._on_termination(End(key.name, key.life, check.together, aboard, check.refused))
+        self._on_termination(Termination(key.name, key.life, check.together, aboard, check.refused))
--- a/packages/gateway/src/tamarack_gateway/engine_gate.py
+++ b/packages/gateway/src/tamarack_gateway/engine_gate.py
@@ -6,7 +6,7 @@
 
 from tamarack_core.admission import Admission
 from tamarack_core.admitted_placement import AdmittedPlacement, Engines, Terms, place_admitted
-from tamarack_core.endpoint_book import Endpoint
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.prompt import Prompt
 from tamarack_core.ruleset import Route
 from tamarack_core.workspace_shares import Position
--- a/packages/gateway/src/tamarack_gateway/exchange.py
+++ b/packages/gateway/src/tamarack_gateway/exchange.py
@@ -7,7 +7,7 @@
 
 from tamarack_core.admission import Admission, Decision
 from tamarack_core.admitted_placement import AdmittedPlacement
-from tamarack_core.endpoint_book import Endpoint, EndpointLife
+from tamarack_core.endpoint_registry import Endpoint, EndpointIncarnation
 from tamarack_core.placement import Choice, choose_engine, choose_plain
 from tamarack_core.prompt import Prompt
 from tamarack_core.quarantine import Treatment
@@ -97,7 +97,7 @@
         self._sends = 0
         self._may_have_run = False
         self._first_event_ms: float | None = None
-        self._tried: set[EndpointLife] = set()
+        self._tried: set[EndpointIncarnation] = set()
 
     @property
     def sends(self) -> int:
--- a/packages/gateway/src/tamarack_gateway/fleet_feeds.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_feeds.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from tamarack_core.endpoint_book import Endpoint
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.json_input import decode_json, is_ip_port
 from tamarack_core.relay_plan import Peer
 from tamarack_gateway.fleet_state import FleetState
@@ -296,15 +296,15 @@
                 row.key: self._read_endpoint(row) for row in rows.values() if row.value is not None
             }
             found = [endpoint for endpoint in read.values() if endpoint is not None]
-            state.book.replace(found, now_ms, keep_until_ms=change.lapsed_until_ms)
+            state.registry.replace(found, now_ms, keep_until_ms=change.lapsed_until_ms)
             for name in [name for name, endpoint in read.items() if endpoint is None]:
-                state.book.drop(name)
+                state.registry.drop(name)
         else:
             for row in rows.values():
                 self._apply_endpoint_row(row, now_ms, change.lapsed_until_ms)
         if change.rows or change.whole:
             state.settle_endpoints()
-            for name in state.book.lifeless:
+            for name in state.registry.without_incarnation:
                 state.unreadable.note(
                     RowKind.ENDPOINT, name, 0, "has no incarnation, unlike other entries"
                 )
@@ -317,34 +317,34 @@
         if self._expiry is not None:
             self._expiry.cancel()
             self._expiry = None
-        next_ms = self._state.book.next_expiry_ms
+        next_ms = self._state.registry.next_expiry_ms
         if next_ms is not None:
             wait_ms = max(0.0, next_ms - self._state.clock.now_ms)
             loop = asyncio.get_running_loop()
             self._expiry = loop.call_later(wait_ms / 1000, self._expire)
 
     def _expire(self) -> None:
-        expired = self._state.book.expire(self._state.clock.now_ms)
+        expired = self._state.registry.expire(self._state.clock.now_ms)
         self._state.settle_endpoints()
         if expired:
             self._state.log.change("missing endpoints expired", endpoints=expired)
         self._schedule_expiry()
 
     def _apply_endpoint_row(self, row: Row, now_ms: float, keep_until_ms: float) -> None:
-        book = self._state.book
+        registry = self._state.registry
         if row.value is None:
             kept_ms = max(0.0, keep_until_ms - now_ms)
             self._state.log.change("endpoint gone", endpoint=row.key, kept_ms=round(kept_ms))
             self._state.unreadable.forget(RowKind.ENDPOINT, row.key)
-            book.remove(row.key, now_ms, keep_until_ms=keep_until_ms)
+            registry.remove(row.key, now_ms, keep_until_ms=keep_until_ms)
             return
         endpoint = self._read_endpoint(row)
         if endpoint is None:
-            book.drop(row.key)
+            registry.drop(row.key)
             return
-        known = book.find(endpoint.name)
-        book.put(endpoint, now_ms)
-        current = book.find(endpoint.name) or endpoint
+        known = registry.find(endpoint.name)
+        registry.put(endpoint, now_ms)
+        current = registry.find(endpoint.name) or endpoint
         if known is None or known.draining != current.draining:
             change = "endpoint draining" if current.draining else "endpoint available"
             self._state.log.change(change, endpoint=current.name, address=current.address)
--- a/packages/gateway/src/tamarack_gateway/fleet_state.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_state.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from tamarack_core.clock import Clock
-from tamarack_core.endpoint_book import Endpoint, EndpointBook, EndpointLife
 from tamarack_core.endpoint_record import EndpointRecord
+from tamarack_core.endpoint_registry import Endpoint, EndpointIncarnation, EndpointRegistry
 from tamarack_core.engine_model import EngineModel
 from tamarack_core.first_token import FirstTokenTime
 from tamarack_core.key_freshness import KeyFreshness
@@ -86,7 +86,7 @@
         self.log = log
         self.random = random.Random(seed)
         self.rules: Ruleset | None = None
-        self.book = EndpointBook(kept_ms=bounds.drain_ms * KEPT_PART)
+        self.registry = EndpointRegistry(kept_ms=bounds.drain_ms * KEPT_PART)
         self.endpoints_known = False
         self.models: dict[str, EngineModel] = {}
         self.records: dict[str, EndpointRecord] = {}
@@ -100,9 +100,9 @@
         self.quarantine = Quarantine(lambda fingerprint: self.owns(fingerprint), quarantine)
         self.quarantine_known = False
         self.owns: Callable[[str], bool] = _owns_nothing
-        self.on_life_over: Callable[[EndpointLife, bool], None] = _ignore
-        self._avoid_until_ms: dict[EndpointLife, float] = {}
-        self._termination_ms: dict[EndpointLife, float] = {}
+        self.on_life_over: Callable[[EndpointIncarnation, bool], None] = _ignore
+        self._avoid_until_ms: dict[EndpointIncarnation, float] = {}
+        self._termination_ms: dict[EndpointIncarnation, float] = {}
         self.leaving: LeavingPlan | None = None
         self._times: dict[str, ServiceTimes] = {}
         self._first_tokens: dict[str, FirstTokenTime] = {}
@@ -166,21 +166,21 @@
 
     def settle_endpoints(self) -> None:
         """Keep models and records for exactly the current incarnations of the listed endpoints."""
-        listed = {name: self.book.find(name) for name in self.book.names}
+        listed = {name: self.registry.find(name) for name in self.registry.names}
         for endpoint in listed.values():
             if endpoint is not None and not self.knows(endpoint.key):
                 self._start_incarnation(endpoint)
         for name in [name for name in self.records if name not in listed]:
-            over = EndpointLife(name, self._incarnations[name])
+            over = EndpointIncarnation(name, self._incarnations[name])
             del self.records[name], self.models[name], self._incarnations[name]
             self.on_life_over(over, False)
         self._resize_models()
 
-    def knows(self, key: EndpointLife) -> bool:
+    def knows(self, key: EndpointIncarnation) -> bool:
         """Whether this is the current incarnation of a listed endpoint."""
         return key.name in self._incarnations and self._incarnations[key.name] == key.life
 
-    def model(self, key: EndpointLife) -> EngineModel | None:
+    def model(self, key: EndpointIncarnation) -> EngineModel | None:
         """The model of an engine; None if it is not listed or has another incarnation now.
 
         Messages about one incarnation must not affect the model of the next: a delayed message
@@ -208,7 +208,7 @@
                 for workspace, asked, served in rows:
                     shares.count(workspace, asked, served, now_ms)
 
-    def record(self, key: EndpointLife) -> EndpointRecord | None:
+    def record(self, key: EndpointIncarnation) -> EndpointRecord | None:
         """The record of an endpoint's answers; None if not listed or of another incarnation."""
         return self.records.get(key.name) if self.knows(key) else None
 
@@ -227,14 +227,14 @@
 
     def usable(self, service: str) -> list[Endpoint]:
         """Endpoints of a service that may get new work."""
-        endpoints = self.book.usable(service)
+        endpoints = self.registry.usable(service)
         if not self._avoid_until_ms:
             return endpoints
         now_ms = self.clock.now_ms
         until_ms = self._avoid_until_ms
         return [e for e in endpoints if until_ms.get(e.key, 0.0) <= now_ms]
 
-    def put_ended(self, key: EndpointLife, *, refused: bool) -> None:
+    def put_ended(self, key: EndpointIncarnation, *, refused: bool) -> None:
         """Record that an incarnation of an endpoint has terminated; it may still be listed.
 
         Parameters
@@ -251,7 +251,7 @@
         ends = {k: at for k, at in self._termination_ms.items() if now_ms - at < TERMINATED_MS}
         self._termination_ms = {key: now_ms, **ends}
 
-    def ended_ms(self, key: EndpointLife) -> float | None:
+    def ended_ms(self, key: EndpointIncarnation) -> float | None:
         """When this router first learned of a termination; None if it has not recently."""
         return self._termination_ms.get(key)
 
@@ -283,7 +283,7 @@
         if name in self._incarnations:
             fields = {"life": endpoint.life, "life_before": self._incarnations[name]}
             self.log.change("endpoint restarted", endpoint=name, **fields)
-            self.on_life_over(EndpointLife(name, self._incarnations[name]), True)
+            self.on_life_over(EndpointIncarnation(name, self._incarnations[name]), True)
         self._incarnations[name] = endpoint.life
         self.records[name] = EndpointRecord()
         first_token = self._first_tokens.setdefault(endpoint.service, FirstTokenTime())
@@ -294,7 +294,7 @@
         # may change the engines' memory size: a model of the wrong size would count prefix blocks
         # as cached that have been evicted.
         for name, model in self.models.items():
-            endpoint = self.book.find(name)
+            endpoint = self.registry.find(name)
             service = self.rules.service(endpoint.service) if self.rules and endpoint else None
             if service is not None and service.engine is not None:
                 model.resize(service.engine.memory_tokens)
@@ -305,5 +305,5 @@
     return False
 
 
-def _ignore(key: EndpointLife, replaced: bool) -> None:
+def _ignore(key: EndpointIncarnation, replaced: bool) -> None:
     """Default of `FleetState.on_life_over`: does nothing."""
--- a/packages/gateway/src/tamarack_gateway/gateway_metrics.py
+++ b/packages/gateway/src/tamarack_gateway/gateway_metrics.py
@@ -68,7 +68,7 @@
         readings = {
             "configuration_version": state.rules.version if state.rules else 0,
             "configuration_age_ms": min(1e9, state.freshness.age_ms(now_ms)),
-            "endpoints": len(state.book),
+            "endpoints": len(state.registry),
             "connections_opened": self._pool.opened,
             "connections_reused": self._pool.reused,
             "connections_lapsed": self._pool.lapsed,
--- a/packages/gateway/src/tamarack_gateway/outbox.py
+++ b/packages/gateway/src/tamarack_gateway/outbox.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from tamarack_core.endpoint_book import EndpointLife
+from tamarack_core.endpoint_registry import EndpointIncarnation
 from tamarack_core.prompt import PrefixBlock
 
 
@@ -29,9 +29,9 @@
     life: int | None = None
 
     @property
-    def key(self) -> EndpointLife:
+    def key(self) -> EndpointIncarnation:
         """The endpoint's incarnation."""
-        return EndpointLife(self.endpoint, self.life)
+        return EndpointIncarnation(self.endpoint, self.life)
 
 
 class Tokens(NamedTuple):
@@ -51,9 +51,9 @@
     life: int | None = None
 
     @property
-    def key(self) -> EndpointLife:
+    def key(self) -> EndpointIncarnation:
         """The endpoint's incarnation."""
-        return EndpointLife(self.endpoint, self.life)
+        return EndpointIncarnation(self.endpoint, self.life)
 
 
 class Placements(NamedTuple):
@@ -75,10 +75,10 @@
     """
 
     def __init__(self) -> None:
-        self._prefill_ms: dict[EndpointLife, float] = {}
-        self._parts: dict[EndpointLife, dict[str, int]] = {}
+        self._prefill_ms: dict[EndpointIncarnation, float] = {}
+        self._parts: dict[EndpointIncarnation, dict[str, int]] = {}
         self._tokens: dict[str, dict[str, tuple[float, float]]] = {}
-        self._seen: dict[EndpointLife, Seen] = {}
+        self._seen: dict[EndpointIncarnation, Seen] = {}
 
     def __bool__(self) -> bool:
         return bool(self._prefill_ms or self._tokens or self._seen)
@@ -94,7 +94,7 @@
             self.add_seen(seen)
 
     def add_work(
-        self, key: EndpointLife, reading_ms: float, parts: Iterable[tuple[str, int]]
+        self, key: EndpointIncarnation, reading_ms: float, parts: Iterable[tuple[str, int]]
     ) -> None:
         """Add work sent to an engine, and prefix blocks that it now caches."""
         self._prefill_ms[key] = self._prefill_ms.get(key, 0.0) + reading_ms
@@ -146,7 +146,7 @@
     ) -> None:
         """Record a request that was sent to an engine."""
         self._pending_event.set()
-        key = EndpointLife(endpoint, life)
+        key = EndpointIncarnation(endpoint, life)
         self._sum.add_work(key, reading_ms, ((part.key, part.tokens) for part in parts))
 
     def asked(self, service: str, workspace: str, tokens: float) -> None:
@@ -158,7 +158,7 @@
         """Record tokens of a request that was sent to an engine of a service."""
         self._sum.add_tokens(service, workspace, 0.0, tokens)
 
-    def seen(self, key: EndpointLife, wait_ms: float, pace: float) -> None:
+    def seen(self, key: EndpointIncarnation, wait_ms: float, pace: float) -> None:
         """Record the observation of a first event; of several, the last one is reported."""
         self._sum.add_seen(Seen(key.name, round(wait_ms, 1), round(pace, 2), key.life))
 
--- a/packages/gateway/src/tamarack_gateway/peer_group.py
+++ b/packages/gateway/src/tamarack_gateway/peer_group.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from tamarack_core.clock import Clock
-from tamarack_core.end_evidence import Evidence
 from tamarack_core.relay_plan import Links, Peer, RelayPlan
+from tamarack_core.termination_evidence import Evidence
 from tamarack_gateway.decision_log import DecisionLog
 from tamarack_gateway.outbox import Outbox, Placements, PlacementSum
 from tamarack_gateway.peer_messages import Alive, Digest, Gathered, Report, Summary
@@ -196,13 +196,13 @@
 
     def _receive(self, topic: bytes, message: Any) -> None:
         if isinstance(message, Report):
-            self._plan.report_heard(self._clock.now_ms)
+            self._plan.record_report(self._clock.now_ms)
             if self._links.relays:
                 self._collect(message)
             self._on_report(message)
         elif topic == _within_topic(self._domain):
             if isinstance(message, Digest):
-                self._plan.relay_heard(message.relay, self._clock.now_ms)
+                self._plan.record_relay(message.relay, self._clock.now_ms)
             if not self._links.relays:
                 self._deliver(message)
         elif self._links.relays and topic != _across_topic(self._domain):
@@ -257,7 +257,7 @@
             await asyncio.sleep(RELAY_MS / 1000)
             now_ms = self._clock.now_ms
             due = self._urgent or now_ms - self._last_relay_ms >= RELAY_IDLE_MS
-            if due and self._plan.speaks(now_ms):
+            if due and self._plan.should_publish(now_ms):
                 self._relay_collected(now_ms)
 
     def _relay_collected(self, now_ms: float) -> None:
--- a/packages/gateway/src/tamarack_gateway/peer_messages.py
+++ b/packages/gateway/src/tamarack_gateway/peer_messages.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from tamarack_core.end_evidence import Evidence
+from tamarack_core.termination_evidence import Evidence
 from tamarack_core.wire import message
 from tamarack_gateway.outbox import Placements
 from tamarack_gateway.table_follower import CopyWanted, TableNews
--- a/packages/gateway/src/tamarack_gateway/quarantine_feed.py
+++ b/packages/gateway/src/tamarack_gateway/quarantine_feed.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from tamarack_core.end_evidence import End, Evidence, QuarantinedRequest
 from tamarack_core.json_input import decode_json
+from tamarack_core.termination_evidence import Evidence, QuarantinedRequest, Termination
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.site import Row
 from tamarack_gateway.table_follower import TableChange
@@ -79,7 +79,7 @@
 
     # observations and updates
 
-    def saw(self, end: End) -> None:
+    def saw(self, end: Termination) -> None:
         """Record a termination that this router detected."""
         fingerprints = [aboard.fingerprint for aboard in end.aboard]
         self._state.log.change(
@@ -116,7 +116,7 @@
             self._record_end(end)
         self._quarantine.cleared(evidence.cleared)
         for request in evidence.quarantined:
-            if self._quarantine.take_in(request, now_ms):
+            if self._quarantine.add(request, now_ms):
                 self._log_quarantined(request, "told by another router")
 
     def took(self, change: TableChange) -> None:
@@ -126,7 +126,7 @@
             self._apply_row(row, now_ms)
         if change.whole:
             listed = {row.key for row in change.rows if row.value is not None}
-            for fingerprint in self._quarantine.keep_stored(listed):
+            for fingerprint in self._quarantine.retain_stored(listed):
                 self._log_released(fingerprint)
         self._state.quarantine_known = True
 
@@ -145,7 +145,7 @@
         while True:
             await self._wait()
             now_ms = self._state.clock.now_ms
-            for request in self._quarantine.settle(now_ms):
+            for request in self._quarantine.decide_due(now_ms):
                 self._log_quarantined(request, "endpoints ended under it")
                 self._pending.quarantined.append(request)
                 self._decision_event.set()
@@ -165,7 +165,7 @@
             await self._remove_rows()
 
     async def _wait(self) -> None:
-        due_ms = self._quarantine.next_verdict_ms
+        due_ms = self._quarantine.next_decision_ms
         left_ms = None if due_ms is None else max(1.0, due_ms - self._state.clock.now_ms)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(None if left_ms is None else left_ms / 1000):
@@ -177,8 +177,8 @@
     async def _remove_rows(self) -> None:
         # Every router sees an entry evicted, so its owner removes the row; only this router has
         # seen the answers in `_removals`.
-        yielded, self._quarantine.yielded = self._quarantine.yielded, []
-        due = self._removals + [one for one in yielded if self._owns_row(one)]
+        evicted, self._quarantine.evicted = self._quarantine.evicted, []
+        due = self._removals + [one for one in evicted if self._owns_row(one)]
         # Reset before the first call: more answers may arrive during the calls.
         self._removals = []
         for fingerprint in due:
@@ -208,7 +208,7 @@
         draw = self._state.random.random()
         return waited_ms >= OTHERS_WRITE_MS and draw * self._state.allowance.routers < 1.0
 
-    def _record_end(self, end: End) -> None:
+    def _record_end(self, end: Termination) -> None:
         self._quarantine.ended(end, self._state.clock.now_ms)
         self._state.put_ended(end.key, refused=end.refused)
         self._pending_event.set()
@@ -226,7 +226,7 @@
             unreadable.note(RowKind.QUARANTINE, row.key, row.version, str(error))
             return
         request = QuarantinedRequest(row.key, fields.workspace, fields.trials)
-        if self._quarantine.take_in(request, now_ms, stored=True):
+        if self._quarantine.add(request, now_ms, stored=True):
             self._log_quarantined(request, "listed in the store")
 
     def _log_quarantined(self, request: QuarantinedRequest, reason: str) -> None:
--- a/packages/gateway/src/tamarack_gateway/router_status.py
+++ b/packages/gateway/src/tamarack_gateway/router_status.py
@@ -141,7 +141,7 @@
     now_ms = state.clock.now_ms
     found: list[EndpointStatus] = []
     for name in sorted(state.records):
-        endpoint = state.book.find(name)
+        endpoint = state.registry.find(name)
         if endpoint is None:
             continue
         record, model = state.records[name], state.models[name]
--- a/packages/gateway/src/tamarack_gateway/send_notes.py
+++ b/packages/gateway/src/tamarack_gateway/send_notes.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from tamarack_core.admitted_placement import AdmittedPlacement
-from tamarack_core.endpoint_book import Endpoint
 from tamarack_core.endpoint_record import EndpointRecord
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.engine_model import EngineModel
 from tamarack_core.placement import Choice
 from tamarack_core.prompt import Prompt
--- a/packages/gateway/src/tamarack_gateway/sending_connection.py
+++ b/packages/gateway/src/tamarack_gateway/sending_connection.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from tamarack_core.endpoint_book import Endpoint
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_gateway.caller_connection import CallerConnection, CallerGoneError
 from tamarack_gateway.connection_pool import ConnectionPool
 from tamarack_gateway.endpoint_connection import ConnectError, EndpointConnection
--- a/packages/gateway/src/tamarack_gateway/site.py
+++ b/packages/gateway/src/tamarack_gateway/site.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from tamarack_core.endpoint_book import Endpoint
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.prompt import PrefixBlock, Prompt
 from tamarack_core.ruleset import Ruleset
 from tamarack_gateway.http_messages import AnswerHead, Headers, Request
--- a/tests/share_simulation.py
+++ b/tests/share_simulation.py
@@ -16,8 +16,8 @@
 
 from tamarack_core.admission import FREE_ENGINE, Admission
 from tamarack_core.admitted_placement import Engines, Terms, place_admitted
-from tamarack_core.endpoint_book import Endpoint
 from tamarack_core.endpoint_record import EndpointRecord
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.engine_model import EngineModel
 from tamarack_core.first_token import FIRST_TOKEN_MS
 from tamarack_core.prompt import PrefixBlock, Prompt
--- a/tests/test_end_witness.py
+++ b/tests/test_end_witness.py
@@ -23,8 +23,8 @@
     """List an engine at the address of a proxy, and wait until the router knows it."""
     entry = {**engine.entry("pool"), "address": link.address}
     await fleet.store.put("servers", engine.name, entry)
-    book = fleet.gateway.state.book
-    await until(lambda: any(e.address == link.address for e in book.usable("pool")))
+    registry = fleet.gateway.state.registry
+    await until(lambda: any(e.address == link.address for e in registry.usable("pool")))
     return entry
 
 
@@ -168,6 +168,6 @@
             assert (await fleet.ask("/rewrite/x", body=FATAL)).status == 502
             routers = [fleet.gateway, *fleet.others]
             await until(lambda: all(len(r.state.usable("pool")) == 2 for r in routers))
-            assert len(fleet.gateway.state.book.usable("pool")) == 3
+            assert len(fleet.gateway.state.registry.usable("pool")) == 3
 
     play(run())
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -10,7 +10,7 @@
 import pytest
 from gateway_site import Answer, Fleet, configuration, play, until
 
-from tamarack_core.endpoint_book import DOUBTED_MS, Endpoint, EndpointBook
+from tamarack_core.endpoint_registry import DEFERRED_MS, Endpoint, EndpointRegistry
 from tamarack_core.prompt import PrefixBlock
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.outbox import Placed, Placements, Seen
@@ -27,7 +27,7 @@
 
 
 def incarnation_of(state: FleetState, name: str) -> int | None:
-    endpoint = state.book.find(name)
+    endpoint = state.registry.find(name)
     return endpoint.life if endpoint is not None else None
 
 
@@ -47,16 +47,16 @@
     A draining endpoint terminates and restarts; a write of its former incarnation is done after
     those of the present one. The last entry must not win regardless of its incarnation.
     """
-    book = EndpointBook(kept_ms=1_700.0)
-    book.put(entry("e1", 2), 0.0)
-    book.put(entry("e1", 1, draining=True), 100.0)
-    assert book.usable("pool") == [entry("e1", 2)]
-    book.replace([entry("e1", 1)], 200.0, keep_until_ms=-1.0)
-    assert book.find("e1") == entry("e1", 2)
-    book.put(entry("e1", 2), 1_200.0)
-    assert book.next_expiry_ms is None
-    book.expire(1e9)
-    assert book.find("e1") == entry("e1", 2)
+    registry = EndpointRegistry(kept_ms=1_700.0)
+    registry.put(entry("e1", 2), 0.0)
+    registry.put(entry("e1", 1, draining=True), 100.0)
+    assert registry.usable("pool") == [entry("e1", 2)]
+    registry.replace([entry("e1", 1)], 200.0, keep_until_ms=-1.0)
+    assert registry.find("e1") == entry("e1", 2)
+    registry.put(entry("e1", 2), 1_200.0)
+    assert registry.next_expiry_ms is None
+    registry.expire(1e9)
+    assert registry.find("e1") == entry("e1", 2)
 
 
 def test_an_endpoint_whose_clock_was_set_back_is_accepted_later() -> None:
@@ -65,22 +65,22 @@
     Its clock is set back and it restarts, so that the present incarnation looks older than the
     former one; later it drains. Entries of an older incarnation must not be ignored forever.
     """
-    book = EndpointBook(kept_ms=1_700.0)
-    book.put(entry("e1", 2), 0.0)
-    book.put(entry("e1", 1), 100.0)
-    book.put(entry("e1", 1), 1_300.0)
-    assert book.next_expiry_ms == 100.0 + DOUBTED_MS
-    assert book.expire(100.0 + DOUBTED_MS) == []
-    assert book.find("e1") == entry("e1", 1)
-    book.put(entry("e1", 1, draining=True), 9_000.0)
-    assert book.usable("pool") == []
+    registry = EndpointRegistry(kept_ms=1_700.0)
+    registry.put(entry("e1", 2), 0.0)
+    registry.put(entry("e1", 1), 100.0)
+    registry.put(entry("e1", 1), 1_300.0)
+    assert registry.next_expiry_ms == 100.0 + DEFERRED_MS
+    assert registry.expire(100.0 + DEFERRED_MS) == []
+    assert registry.find("e1") == entry("e1", 1)
+    registry.put(entry("e1", 1, draining=True), 9_000.0)
+    assert registry.usable("pool") == []
 
 
 def test_an_endpoint_that_drained_gets_requests_in_its_next_incarnation() -> None:
-    book = EndpointBook(kept_ms=1_700.0)
-    book.put(entry("e1", 1, draining=True), 0.0)
-    book.put(entry("e1", 2), 100.0)
-    assert book.usable("pool") == [entry("e1", 2)]
+    registry = EndpointRegistry(kept_ms=1_700.0)
+    registry.put(entry("e1", 1, draining=True), 0.0)
+    registry.put(entry("e1", 2), 100.0)
+    assert registry.usable("pool") == [entry("e1", 2)]
 
 
 def test_endpoints_without_an_incarnation_are_used() -> None:
--- a/tests/test_foreign_rows.py
+++ b/tests/test_foreign_rows.py
@@ -11,7 +11,7 @@
 from gateway_site import Fleet, configuration, connect, play, read_answer, until
 
 from tamarack_core.clock import HeldClock
-from tamarack_core.endpoint_book import Endpoint, EndpointBook
+from tamarack_core.endpoint_registry import Endpoint, EndpointRegistry
 from tamarack_ctl.main import main
 from tamarack_gateway.decision_log import DecisionLog
 from tamarack_gateway.site import Row
@@ -149,14 +149,14 @@
 
 
 def test_an_entry_that_cannot_be_read_after_an_outage_is_not_retained() -> None:
-    book = EndpointBook(kept_ms=1_700.0)
+    registry = EndpointRegistry(kept_ms=1_700.0)
     endpoint = read_endpoint("w1", encoded(GOOD))
-    book.replace([endpoint], 0.0, keep_until_ms=-1.0)
-    book.replace([], 100.0, keep_until_ms=2_000.0)
-    assert book.usable("web") == [endpoint]
-    book.drop("w1")
-    assert book.usable("web") == []
-    assert book.next_expiry_ms is None
+    registry.replace([endpoint], 0.0, keep_until_ms=-1.0)
+    registry.replace([], 100.0, keep_until_ms=2_000.0)
+    assert registry.usable("web") == [endpoint]
+    registry.drop("w1")
+    assert registry.usable("web") == []
+    assert registry.next_expiry_ms is None
 
 
 def test_an_entry_without_an_incarnation_among_entries_with_one_is_not_used() -> None:
@@ -167,14 +167,14 @@
     """
     listed = [Endpoint(f"w{n}", "web", f"10.0.0.{n}:80", "a", 4, False, BORN_MS) for n in range(3)]
     foreign = Endpoint("w9", "web", "10.0.0.9:80", "a", 4, False, None)
-    book = EndpointBook(kept_ms=1_700.0)
-    book.replace([*listed, foreign], 0.0, keep_until_ms=-1.0)
-    assert book.usable("web") == listed
-    assert book.lifeless == ["w9"]
+    registry = EndpointRegistry(kept_ms=1_700.0)
+    registry.replace([*listed, foreign], 0.0, keep_until_ms=-1.0)
+    assert registry.usable("web") == listed
+    assert registry.without_incarnation == ["w9"]
     without = [endpoint._replace(life=None) for endpoint in listed]
-    book.replace([*without, foreign._replace(life=BORN_MS)], 0.0, keep_until_ms=-1.0)
-    assert len(book.usable("web")) == 4
-    assert book.lifeless == []
+    registry.replace([*without, foreign._replace(life=BORN_MS)], 0.0, keep_until_ms=-1.0)
+    assert len(registry.usable("web")) == 4
+    assert registry.without_incarnation == []
 
 
 def test_a_row_that_is_not_base64_does_not_affect_others_of_its_page() -> None:
--- a/tests/test_foreign_rows_fuzz.py
+++ b/tests/test_foreign_rows_fuzz.py
@@ -14,12 +14,12 @@
 from hypothesis import strategies as st
 
 from tamarack_core.clock import HeldClock
-from tamarack_core.end_evidence import Evidence, QuarantinedRequest
-from tamarack_core.endpoint_book import Endpoint
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.json_input import is_ip_port
 from tamarack_core.quarantine import QuarantinedReading
 from tamarack_core.relay_plan import Peer
 from tamarack_core.ruleset import Ruleset
+from tamarack_core.termination_evidence import Evidence, QuarantinedRequest
 from tamarack_core.wire import encode
 from tamarack_gateway.connection_pool import ConnectionPool
 from tamarack_gateway.decision_log import DecisionLog
@@ -373,8 +373,8 @@
             assert all(is_ip_port(peer.address) for peer in feeds.peers.values())
             assert state.rules is not None
             check_rules(state.rules)
-            for name in state.book.names:
-                endpoint = state.book.find(name)
+            for name in state.registry.names:
+                endpoint = state.registry.find(name)
                 assert endpoint is not None
                 check_endpoint(endpoint)
                 assert name in state.models
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,7 +18,7 @@
 )
 
 from tamarack_core.clock import BootClock
-from tamarack_core.endpoint_book import Endpoint
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.leaving import plan_leaving
 from tamarack_core.ruleset import CallerBounds
 from tamarack_gateway.caller_connection import CallerConnection
@@ -506,7 +506,7 @@
             await until(lambda: follower._failures == 0)
             follower.RETURN_MS = 0.0
             await fleet.store.remove("servers", "w1")
-            await until(lambda: len(fleet.gateway.state.book) < 2)
+            await until(lambda: len(fleet.gateway.state.registry) < 2)
 
     play(run())
 
--- a/tests/test_gateway_bounds.py
+++ b/tests/test_gateway_bounds.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tamarack_core.clock import HeldClock
-from tamarack_core.endpoint_book import Endpoint
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_gateway.decision_log import DecisionLog
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.site import FleetBounds, GatewaySettings
@@ -50,10 +50,10 @@
 def test_a_missing_endpoint_is_retained_no_longer_than_it_may_get_work(drain_ms: float) -> None:
     clock = HeldClock()
     state = state_with(clock, drain_ms=drain_ms)
-    state.book.put(Endpoint("e1", "pool", ADDRESS, "a", 4, False), clock.now_ms)
-    state.book.remove("e1", clock.now_ms, keep_until_ms=99_000.0)
-    assert state.book.next_expiry_ms is not None
-    assert 0.5 * drain_ms < state.book.next_expiry_ms < drain_ms
+    state.registry.put(Endpoint("e1", "pool", ADDRESS, "a", 4, False), clock.now_ms)
+    state.registry.remove("e1", clock.now_ms, keep_until_ms=99_000.0)
+    assert state.registry.next_expiry_ms is not None
+    assert 0.5 * drain_ms < state.registry.next_expiry_ms < drain_ms
 
 
 def test_bounds_are_read_from_the_settings_file() -> None:
--- a/tests/test_gateway_core.py
+++ b/tests/test_gateway_core.py
@@ -5,8 +5,8 @@
 import pytest
 
 from tamarack_core.admission import FREE_ENGINE, Admission, Decision, admit
-from tamarack_core.endpoint_book import Endpoint, EndpointBook
 from tamarack_core.endpoint_record import EndpointRecord
+from tamarack_core.endpoint_registry import Endpoint, EndpointRegistry
 from tamarack_core.engine_model import EngineModel
 from tamarack_core.first_token import FIRST_TOKEN_MS
 from tamarack_core.key_freshness import KeyFreshness
@@ -96,14 +96,14 @@
     Entries expire while endpoints cannot write their heartbeats, and missing entries are dropped at
     once.
     """
-    book = EndpointBook(kept_ms=1_700.0)
-    book.replace(endpoints("e1", "e2"), 0.0, keep_until_ms=-1.0)
-    book.replace(endpoints("e1"), 1_000.0, keep_until_ms=2_300.0)
-    assert len(book.usable("pool")) == 2
-    assert book.next_expiry_ms == 2_300.0
-    assert book.expire(2_299.0) == []
-    assert book.expire(2_300.0) == ["e2"]
-    assert [endpoint.name for endpoint in book.usable("pool")] == ["e1"]
+    registry = EndpointRegistry(kept_ms=1_700.0)
+    registry.replace(endpoints("e1", "e2"), 0.0, keep_until_ms=-1.0)
+    registry.replace(endpoints("e1"), 1_000.0, keep_until_ms=2_300.0)
+    assert len(registry.usable("pool")) == 2
+    assert registry.next_expiry_ms == 2_300.0
+    assert registry.expire(2_299.0) == []
+    assert registry.expire(2_300.0) == ["e2"]
+    assert [endpoint.name for endpoint in registry.usable("pool")] == ["e1"]
 
 
 def test_retention_ends_a_fixed_time_after_the_recovery_of_the_store() -> None:
@@ -112,28 +112,28 @@
     An endpoint leaves without notice 1.3 s after the store is available again, and its entry is
     retained for the full period from then on instead of from the store's recovery.
     """
-    book = EndpointBook(kept_ms=1_700.0)
-    book.replace(endpoints("e1"), 0.0, keep_until_ms=-1.0)
+    registry = EndpointRegistry(kept_ms=1_700.0)
+    registry.replace(endpoints("e1"), 0.0, keep_until_ms=-1.0)
     returned_ms = 10_000.0
-    book.remove("e1", returned_ms + 1_300.0, keep_until_ms=returned_ms + 2_300.0)
-    assert len(book.usable("pool")) == 1
-    assert book.expire(returned_ms + 2_300.0) == ["e1"]
-    book.replace(endpoints("e1"), 15_000.0, keep_until_ms=-1.0)
-    book.remove("e1", 15_100.0, keep_until_ms=99_000.0)
-    assert book.next_expiry_ms is not None
-    assert book.next_expiry_ms < 15_100.0 + 2_000.0
-    book.expire(99_000.0)
-    book.replace(endpoints("e2"), 20_000.0, keep_until_ms=12_300.0)
-    book.remove("e2", 21_000.0, keep_until_ms=12_300.0)
-    assert book.usable("pool") == []
+    registry.remove("e1", returned_ms + 1_300.0, keep_until_ms=returned_ms + 2_300.0)
+    assert len(registry.usable("pool")) == 1
+    assert registry.expire(returned_ms + 2_300.0) == ["e1"]
+    registry.replace(endpoints("e1"), 15_000.0, keep_until_ms=-1.0)
+    registry.remove("e1", 15_100.0, keep_until_ms=99_000.0)
+    assert registry.next_expiry_ms is not None
+    assert registry.next_expiry_ms < 15_100.0 + 2_000.0
+    registry.expire(99_000.0)
+    registry.replace(endpoints("e2"), 20_000.0, keep_until_ms=12_300.0)
+    registry.remove("e2", 21_000.0, keep_until_ms=12_300.0)
+    assert registry.usable("pool") == []
 
 
 def test_a_draining_entry_is_not_retained() -> None:
-    book = EndpointBook(kept_ms=1_700.0)
+    registry = EndpointRegistry(kept_ms=1_700.0)
     draining = [endpoint._replace(draining=True) for endpoint in endpoints("e1")]
-    book.replace(draining, 0.0, keep_until_ms=-1.0)
-    book.remove("e1", 0.0, keep_until_ms=5_000.0)
-    assert len(book) == 0
+    registry.replace(draining, 0.0, keep_until_ms=-1.0)
+    registry.remove("e1", 0.0, keep_until_ms=5_000.0)
+    assert len(registry) == 0
 
 
 def test_a_first_event_corrects_the_predicted_queue() -> None:
--- a/tests/test_gateway_properties.py
+++ b/tests/test_gateway_properties.py
@@ -91,7 +91,7 @@
         for name, plan in plans.items():
             if plan.links(now_ms).relays:
                 for other in plans.values():
-                    other.relay_heard(name, now_ms)
+                    other.record_relay(name, now_ms)
     for domain in ("d0", "d1", "d2"):
         relays = [
             name
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -70,16 +70,16 @@
             await fleet.store.remove("servers", "w0")
             entry = {**worker.entry("web"), "address": link.address}
             await fleet.store.put("servers", "w1", entry)
-            book = fleet.gateway.state.book
+            registry = fleet.gateway.state.registry
             await until(
-                lambda: [e.address for e in book.usable("web")] == [link.address],
+                lambda: [e.address for e in registry.usable("web")] == [link.address],
             )
             assert (await fleet.ask("/search/1")).status == 200
             link.silence_open()
             other = PlatformWorker("w2")
             async with other:
                 await fleet.store.put("servers", "w2", other.entry("web"))
-                await until(lambda: len(book) == 2)
+                await until(lambda: len(registry) == 2)
                 assert (await fleet.ask("/search/2")).status == 200
 
     play(run())
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -4,8 +4,8 @@
 
 import random
 
-from tamarack_core.endpoint_book import Endpoint
 from tamarack_core.endpoint_record import EndpointRecord
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.engine_model import EngineModel
 from tamarack_core.first_token import FIRST_TOKEN_MS
 from tamarack_core.placement import (
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -7,8 +7,7 @@
 from hypothesis import strategies as st
 
 from tamarack_bench.quarantine_model import ModelOptions, ModelResult, QuarantineModel
-from tamarack_core.end_evidence import Aboard, End, QuarantinedRequest
-from tamarack_core.endpoint_book import EndpointLife
+from tamarack_core.endpoint_registry import EndpointIncarnation
 from tamarack_core.quarantine import (
     FORGET_MS,
     MANY_QUARANTINED,
@@ -19,6 +18,7 @@
     Treatment,
 )
 from tamarack_core.quarantine_records import LONGEST_PAUSE_MS, QuarantineBounds
+from tamarack_core.termination_evidence import InterruptedRequest, QuarantinedRequest, Termination
 from tamarack_core.workspace_table import WorkspaceTable
 
 LATE_MOST = 3
@@ -38,16 +38,16 @@
     def end(self, *aboard: str, late: tuple[str, ...] = (), together: bool = False) -> list[str]:
         """Crash an endpoint with the given requests; returns those quarantined by the decision."""
         self._lives += 1
-        requests = [Aboard(f, "shop", True) for f in aboard] + [
-            Aboard(f, "shop", False) for f in late
+        requests = [InterruptedRequest(f, "shop", True) for f in aboard] + [
+            InterruptedRequest(f, "shop", False) for f in late
         ]
-        end = End(f"e{self._lives}", self._lives, together, requests)
+        end = Termination(f"e{self._lives}", self._lives, together, requests)
         self.quarantine.ended(end, self.now_ms)
         self.now_ms += SETTLE_MS
-        return [decision.fingerprint for decision in self.quarantine.settle(self.now_ms)]
+        return [decision.fingerprint for decision in self.quarantine.decide_due(self.now_ms)]
 
     def look(self, fingerprint: str, workspace: str = "shop") -> Treatment:
-        return self.quarantine.look(fingerprint, workspace, self.now_ms).treatment
+        return self.quarantine.treatment_of(fingerprint, workspace, self.now_ms).treatment
 
 
 # simulated fleet
@@ -174,10 +174,12 @@
     steps = Steps()
     steps.end("a")
     steps.end("a")
-    steps.quarantine.ended(End("e9", 9, False, [Aboard("a", "shop", True)]), steps.now_ms)
+    steps.quarantine.ended(
+        Termination("e9", 9, False, [InterruptedRequest("a", "shop", True)]), steps.now_ms
+    )
     assert steps.look("a") is Treatment.WAIT
     assert steps.quarantine.answered("a")
-    assert steps.quarantine.settle(steps.now_ms + SETTLE_MS) == []
+    assert steps.quarantine.decide_due(steps.now_ms + SETTLE_MS) == []
     assert steps.look("a") is Treatment.FREE
     assert not steps.quarantine.watching
 
@@ -203,12 +205,19 @@
 def test_reports_of_several_routers_count_as_one_crash() -> None:
     steps = Steps()
     for number in range(4):
-        end = End("e1", 1, False, [Aboard("a", "shop", True), Aboard(f"b{number}", "shop", True)])
+        end = Termination(
+            "e1",
+            1,
+            False,
+            [InterruptedRequest("a", "shop", True), InterruptedRequest(f"b{number}", "shop", True)],
+        )
         steps.quarantine.ended(end, steps.now_ms)
-    steps.quarantine.settle(steps.now_ms + SETTLE_MS)
+    steps.quarantine.decide_due(steps.now_ms + SETTLE_MS)
     # A report after the decision does not count again.
-    steps.quarantine.ended(End("e1", 1, False, [Aboard("a", "shop", True)]), steps.now_ms + 900.0)
-    assert steps.quarantine.settle(steps.now_ms + 900.0 + SETTLE_MS) == []
+    steps.quarantine.ended(
+        Termination("e1", 1, False, [InterruptedRequest("a", "shop", True)]), steps.now_ms + 900.0
+    )
+    assert steps.quarantine.decide_due(steps.now_ms + 900.0 + SETTLE_MS) == []
     assert [reading.ends for reading in steps.quarantine.suspects(9)] == [1] * 5
 
 
@@ -216,7 +225,7 @@
     steps = Steps()
     steps.end("a")
     steps.end("a")
-    key = EndpointLife("e7", 7)
+    key = EndpointIncarnation("e7", 7)
     steps.quarantine.begun("a", key)
     assert steps.look("a") is Treatment.WAIT
     steps.quarantine.finished("a", key)
@@ -225,10 +234,10 @@
 
 def test_suspects_run_at_different_endpoints() -> None:
     steps = Steps()
-    keys = [EndpointLife(f"e{n}", n) for n in range(3)]
+    keys = [EndpointIncarnation(f"e{n}", n) for n in range(3)]
     taken = []
     for name in "abc":
-        key = steps.quarantine.place(name, keys)
+        key = steps.quarantine.choose_endpoint(name, keys)
         steps.quarantine.begun(name, key)
         taken.append(key)
     assert sorted(taken) == keys
@@ -271,7 +280,7 @@
 def test_requests_of_a_workspace_with_many_culprits_are_isolated_at_once() -> None:
     steps = Steps()
     for number in range(MANY_QUARANTINED):
-        steps.quarantine.take_in(QuarantinedRequest(f"f{number}", "shop", 0), steps.now_ms)
+        steps.quarantine.add(QuarantinedRequest(f"f{number}", "shop", 0), steps.now_ms)
     assert steps.look("new") is Treatment.APART
     assert steps.look("new", "another") is Treatment.FREE
     assert steps.end("new") == ["new"]
@@ -279,9 +288,9 @@
 
 def test_only_requests_deleted_from_the_store_are_released() -> None:
     steps = Steps()
-    steps.quarantine.take_in(QuarantinedRequest("stored", "shop", 0), steps.now_ms, stored=True)
-    steps.quarantine.take_in(QuarantinedRequest("told", "shop", 0), steps.now_ms)
-    assert steps.quarantine.keep_stored(set()) == ["stored"]
+    steps.quarantine.add(QuarantinedRequest("stored", "shop", 0), steps.now_ms, stored=True)
+    steps.quarantine.add(QuarantinedRequest("told", "shop", 0), steps.now_ms)
+    assert steps.quarantine.retain_stored(set()) == ["stored"]
     assert steps.look("told") is Treatment.QUARANTINED
     assert steps.quarantine.unstored() == [QuarantinedRequest("told", "shop", 0)]
 
@@ -301,14 +310,16 @@
     This happens if the table has only one limit for all workspaces.
     """
     steps = Steps()
-    steps.quarantine.take_in(QuarantinedRequest("kept", "small", 0), steps.now_ms)
+    steps.quarantine.add(QuarantinedRequest("kept", "small", 0), steps.now_ms)
     for number in range(10_000):
-        steps.quarantine.take_in(QuarantinedRequest(f"f{number}", "flood", 0), steps.now_ms)
+        steps.quarantine.add(QuarantinedRequest(f"f{number}", "flood", 0), steps.now_ms)
     assert steps.look("kept", "small") is Treatment.QUARANTINED
     assert len(steps.quarantine.entries(steps.now_ms)) == 1 + MOST_QUARANTINED_OF_ONE
-    assert len(steps.quarantine.yielded) == 10_000 - MOST_QUARANTINED_OF_ONE
-    requests = [Aboard(f"s{number}", "flood", True) for number in range(10_000)]
-    steps.quarantine.ended(End("e1", 1, False, [*requests, Aboard("x", "small", True)]), 0.0)
+    assert len(steps.quarantine.evicted) == 10_000 - MOST_QUARANTINED_OF_ONE
+    requests = [InterruptedRequest(f"s{number}", "flood", True) for number in range(10_000)]
+    steps.quarantine.ended(
+        Termination("e1", 1, False, [*requests, InterruptedRequest("x", "small", True)]), 0.0
+    )
     assert len(steps.quarantine.suspects(20_000)) == 1 + MOST_SUSPECTS_OF_ONE
 
 
@@ -320,8 +331,8 @@
     table: WorkspaceTable[int] = WorkspaceTable(most=12, most_of_one=8)
     for number, workspace in puts:
         before = {w: table.count(w) for w in "abcd"}
-        for yielded in table.put(f"{workspace}{number}", workspace, number):
-            owner = yielded[0]
+        for evicted in table.put(f"{workspace}{number}", workspace, number):
+            owner = evicted[0]
             assert before[owner] >= max(before.values()) or owner == workspace
         assert len(table) <= 12
         assert all(table.count(w) <= 8 for w in "abcd")
--- a/tests/test_quarantine_feed.py
+++ b/tests/test_quarantine_feed.py
@@ -6,7 +6,7 @@
 
 from test_foreign_rows_fuzz import Feeds
 
-from tamarack_core.end_evidence import QuarantinedRequest
+from tamarack_core.termination_evidence import QuarantinedRequest
 from tamarack_gateway.quarantine_feed import OTHERS_WRITE_MS, QuarantineFeed
 
 ROUTERS = 195
@@ -33,7 +33,7 @@
         feed = QuarantineFeed(
             state, tell=lambda evidence: None, writes=lambda key: False, write=write
         )
-        state.quarantine.take_in(QuarantinedRequest("f1", "shop", 0), clock.now_ms)
+        state.quarantine.add(QuarantinedRequest("f1", "shop", 0), clock.now_ms)
         await feed._store_decisions()
         assert attempts == []
         clock.advance(OTHERS_WRITE_MS)  # type: ignore[attr-defined]
@@ -69,7 +69,7 @@
             state, tell=lambda evidence: None, writes=lambda key: False, write=write
         )
         for name in ("f1", "f2"):
-            state.quarantine.take_in(QuarantinedRequest(name, "shop", 0), 0.0, stored=True)
+            state.quarantine.add(QuarantinedRequest(name, "shop", 0), 0.0, stored=True)
         feed.answered("f1")
         await feed._remove_rows()
         await feed._remove_rows()
--- a/tests/test_relay_plan.py
+++ b/tests/test_relay_plan.py
@@ -85,11 +85,11 @@
     for name, plan in alive.items():
         for other in relays(of, peers, 0.0)[1:]:
             if peers[other].failure_domain == peers[name].failure_domain:
-                plan.relay_heard(other, lost_ms)
+                plan.record_relay(other, lost_ms)
     found = relays(alive, peers, lost_ms)
     assert [peers[name].failure_domain for name in found] == list(DOMAINS)
     for plan in alive.values():
-        plan.relay_heard(dead, lost_ms + 50.0)
+        plan.record_relay(dead, lost_ms + 50.0)
     assert dead not in relays(alive, peers, lost_ms + 50.0)
     assert len(relays(alive, peers, lost_ms + 50.0)) == len(DOMAINS) - 1
 
@@ -103,9 +103,9 @@
     peers = fleet(66)
     of = plans(peers)
     relay = of[relays(of, peers, 0.0)[0]]
-    relay.report_heard(1_000.0)
-    assert relay.speaks(2_000.0)
-    assert not relay.speaks(1_000.0 + 2 * SILENCE_MS + 1.0)
+    relay.record_report(1_000.0)
+    assert relay.should_publish(2_000.0)
+    assert not relay.should_publish(1_000.0 + 2 * SILENCE_MS + 1.0)
 
 
 def test_a_router_alone_in_its_failure_domain_is_its_relay() -> None:
@@ -115,4 +115,4 @@
     plan = RelayPlan("z", "z")
     plan.put(peers, 0.0)
     assert plan.links(60_000.0).relays
-    assert plan.speaks(60_000.0)
+    assert plan.should_publish(60_000.0)
--- a/tests/test_service_shares.py
+++ b/tests/test_service_shares.py
@@ -11,7 +11,7 @@
 
 from tamarack_core.admission import Admission
 from tamarack_core.clock import HeldClock
-from tamarack_core.endpoint_book import Endpoint
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.prompt import Prompt, blocks_of
 from tamarack_core.ruleset import (
     EngineTraits,
@@ -39,7 +39,7 @@
     for service, count in engines.items():
         for number in range(count):
             name = f"{service}-{number}"
-            state.book.put(Endpoint(name, service, ADDRESS, "a", 16, False), clock.now_ms)
+            state.registry.put(Endpoint(name, service, ADDRESS, "a", 16, False), clock.now_ms)
     state.settle_endpoints()
     return state
 
