--- a/packages/bench/src/tamarack_bench/core_bench.py
+++ b/packages/bench/src/tamarack_bench/core_bench.py
@@ -108,7 +108,7 @@
     if not take_turns:
         for shard in fleet:
             for name in names:
-                shard.dispatcher.queue.override(name, place=0)
+                shard.dispatcher.queue.override(name, stagger=0)
     served = dict.fromkeys(names, 0.0)
     gap = 0.0
     now_ms = 0.0
--- a/packages/bench/src/tamarack_bench/slopes.py
+++ b/packages/bench/src/tamarack_bench/slopes.py
@@ -25,7 +25,7 @@
 from tamarack_core.dispatch_messages import ShardKey, Ticket
 from tamarack_core.dispatch_policy import DispatchPolicy
 from tamarack_core.dispatcher import Dispatcher
-from tamarack_core.keeper import Keeper
+from tamarack_core.key_owner import KeyOwner
 from tamarack_standins.deployments import Deployment
 from tamarack_standins.fleet import Fleet
 
@@ -126,19 +126,19 @@
     return dispatcher
 
 
-def _claimed_keys(count: int) -> Keeper:
-    keeper = Keeper("r1", 1, 0.0)
-    token = keeper.token(0.0).text
+def _claimed_keys(count: int) -> KeyOwner:
+    key_owner = KeyOwner("r1", 1, 0.0)
+    token = key_owner.token(0.0).text
     for number in range(count):
         claim = Claim(
             f"{token}.{number:016x}", f"w{number % 680}", "0" * 16, f"r2~1700000000000~{number}"
         )
-        keeper.claim(claim, 0.0)
-    return keeper
+        key_owner.claim(claim, 0.0)
+    return key_owner
 
 
-def _keeper_slopes() -> list[Slope]:
-    """Keeper: time and memory by keys held."""
+def _key_owner_slopes() -> list[Slope]:
+    """Key owner: time and memory by keys held."""
     times = []
     for size in (2_000, 5_000, 10_000, 20_000):
         started = time.perf_counter()
@@ -311,7 +311,7 @@
     """Measure every role."""
     return [
         *_dispatcher_slopes(),
-        *_keeper_slopes(),
+        *_key_owner_slopes(),
         *_config_slopes(),
         *_member_slopes(),
         *_request_slopes(),
--- a/packages/core/src/tamarack_core/claim_messages.py
+++ b/packages/core/src/tamarack_core/claim_messages.py
@@ -4,10 +4,10 @@
 
 from typing import NamedTuple
 
-from tamarack_core.wire import ChangeId, Owner, message, speaks_of
+from tamarack_core.wire import ChangeId, Owner, message, with_ids_of
 
 
-@speaks_of(Owner.SENDER)
+@with_ids_of(Owner.SENDER)
 @message(30)
 class Claim(NamedTuple):
     """Ask a key's owner whether its request may run."""
@@ -22,7 +22,7 @@
         return self._replace(request=change(self.request))
 
 
-@speaks_of(Owner.RECEIVER)
+@with_ids_of(Owner.RECEIVER)
 @message(31)
 class ClaimAnswer(NamedTuple):
     """A key owner's answer to a claim.
@@ -50,7 +50,7 @@
         return self._replace(request=change(self.request))
 
 
-@speaks_of(Owner.SENDER)
+@with_ids_of(Owner.SENDER)
 @message(32)
 class ClaimDone(NamedTuple):
     """Report to a key's owner how its request ended."""
@@ -63,7 +63,7 @@
         return self._replace(request=change(self.request))
 
 
-@speaks_of(Owner.SENDER)
+@with_ids_of(Owner.SENDER)
 @message(35)
 class ClaimRunning(NamedTuple):
     """Report to a key's owner which endpoint runs its request, so that retries find the run."""
--- a/packages/core/src/tamarack_core/clock.py
+++ b/packages/core/src/tamarack_core/clock.py
@@ -38,7 +38,7 @@
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) / 1e6
 
 
-class HeldClock(Clock):
+class ManualClock(Clock):
     """A clock for tests that advances only on request."""
 
     def __init__(self, start_ms: float = 0.0) -> None:
--- a/packages/core/src/tamarack_core/config_follower.py
+++ b/packages/core/src/tamarack_core/config_follower.py
@@ -15,14 +15,14 @@
 _change_decoder = msgspec.msgpack.Decoder(Change)
 
 
-class AskPeer(NamedTuple):
+class QueryPeer(NamedTuple):
     """Ask a member for the changes after a version."""
 
     router: str
     after: int
 
 
-class AskStore(NamedTuple):
+class QueryStore(NamedTuple):
     """Read the changes after a version from the table service."""
 
     after: int
@@ -85,7 +85,7 @@
         self._update_ready()
         return True
 
-    def offer(self, changes: list[bytes]) -> int:
+    def apply_changes(self, changes: list[bytes]) -> int:
         """Apply encoded changes that continue the current version; return how many were applied."""
         applied = 0
         for data in changes:
@@ -113,7 +113,7 @@
         last = min(self._config.version, version + limit)
         return [self._recent_changes[number] for number in range(version + 1, last + 1)]
 
-    def next_question(self, now_ms: float, *, store_up: bool) -> AskPeer | AskStore | None:
+    def next_query(self, now_ms: float, *, store_up: bool) -> QueryPeer | QueryStore | None:
         """The next query for missing changes, None if nothing is missing or no query is due."""
         if self._started_ms is None:
             self._started_ms = now_ms
@@ -126,13 +126,13 @@
         store_is_newer = (self._store_head or 0) > self._config.version
         cold = self._config.version == 0
         if store_up and store_is_newer and (cold or not newer_peers):
-            return AskStore(self._config.version)
+            return QueryStore(self._config.version)
         if newer_peers:
             # Prefers another peer than the last, which may be down or lack the changes.
             others = [name for name in newer_peers if name != self._queried_peer] or newer_peers
             self._queried_peer = max(others, key=lambda name: self._peers[name])
-            return AskPeer(self._queried_peer, self._config.version)
-        return AskStore(self._config.version) if store_up else None
+            return QueryPeer(self._queried_peer, self._config.version)
+        return QueryStore(self._config.version) if store_up else None
 
     def _update_ready(self) -> None:
         head_known = self._store_head is not None or self._peer_head_known
--- a/packages/core/src/tamarack_core/dispatch_messages.py
+++ b/packages/core/src/tamarack_core/dispatch_messages.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from tamarack_core.wire import ChangeId, Owner, message, speaks_of
+from tamarack_core.wire import ChangeId, Owner, message, with_ids_of
 
 
 class ShardKey(NamedTuple):
@@ -54,7 +54,7 @@
     charged: float
 
 
-@speaks_of(Owner.SENDER)
+@with_ids_of(Owner.SENDER)
 @message(10)
 class SubmitTickets(NamedTuple):
     """Tickets for a shard's dispatcher."""
@@ -70,7 +70,7 @@
         )
 
 
-@speaks_of(Owner.SENDER)
+@with_ids_of(Owner.SENDER)
 @message(11)
 class CancelTickets(NamedTuple):
     """Cancelled requests."""
@@ -91,7 +91,7 @@
     charged: float
 
 
-@speaks_of(Owner.RECEIVER)
+@with_ids_of(Owner.RECEIVER)
 @message(12)
 class Grants(NamedTuple):
     """Grants of one term, with the counters of the granted workspaces."""
@@ -114,7 +114,7 @@
     retry_after_ms: int
 
 
-@speaks_of(Owner.RECEIVER)
+@with_ids_of(Owner.RECEIVER)
 @message(13)
 class RefuseTickets(NamedTuple):
     """Tickets that a dispatcher refuses."""
@@ -153,7 +153,7 @@
 USAGE_UNREACHABLE = 4
 
 
-@speaks_of(Owner.SENDER)
+@with_ids_of(Owner.SENDER)
 @message(14)
 class ReportUsage(NamedTuple):
     """Progress and settlement of grants."""
@@ -193,7 +193,7 @@
     term: int
 
 
-@speaks_of(Owner.SENDER)
+@with_ids_of(Owner.SENDER)
 @message(17)
 class Register(NamedTuple):
     """All outstanding requests of a router at a shard; replaces the dispatcher's state of it."""
--- a/packages/core/src/tamarack_core/dispatcher.py
+++ b/packages/core/src/tamarack_core/dispatcher.py
@@ -164,7 +164,7 @@
         """Apply the current endpoints, policy and failure domains of routers."""
         self._policy = policy
         self._domains = domains
-        self._queue.reweigh(policy.weights, policy.default_weight)
+        self._queue.set_weights(policy.weights, policy.default_weight)
         self._pool.configure(specs, now_ms)
 
     def report(self, endpoint: str, load: LoadReport, now_ms: float) -> None:
@@ -173,7 +173,7 @@
 
     def submit(self, router: str, tickets: list[Ticket], now_ms: float) -> list[Send]:
         """Queue tickets of a router; tickets that cannot be served are refused immediately."""
-        self._routers.heard(router, now_ms)
+        self._routers.record_message(router, now_ms)
         refusals = []
         for ticket in tickets:
             refusal = self._admit(router, ticket, now_ms)
@@ -194,7 +194,7 @@
 
     def usage(self, router: str, usages: list[Usage], now_ms: float) -> None:
         """Process usage reports: progress of running requests and final settlements."""
-        self._routers.heard(router, now_ms)
+        self._routers.record_message(router, now_ms)
         for usage in usages:
             running = self._running.find(usage.request)
             if running is None or running.router != router:
@@ -211,7 +211,7 @@
         waiting = {ticket.request for ticket in message.tickets}
         self._drop_router(router, now_ms, queued=waiting)
         for workspace, counter in message.counters.items():
-            self._queue.raise_to(workspace, counter)
+            self._queue.raise_counter(workspace, counter)
         for grant in message.running:
             running = Running(
                 grant.request, router, grant.workspace, grant.endpoint, grant.charged, now_ms
@@ -222,8 +222,8 @@
 
     def poll(self, router: str, message: Poll, now_ms: float) -> Send:
         """Answer a router's poll; request a full registration after two mismatches in a row."""
-        self._routers.heard(router, now_ms)
-        resync = self._routers.differs_again(router, message, now_ms)
+        self._routers.record_message(router, now_ms)
+        resync = self._routers.mismatched_twice(router, message, now_ms)
         if resync:
             self._counts["resync"] += 1
         return Send(router, PollAck(self._shard, self._term, resync))
@@ -231,7 +231,7 @@
     def router_gone(self, router: str, now_ms: float) -> None:
         """Release the tickets and grants of a dead router and remove its accounts."""
         self._drop_router(router, now_ms)
-        self._routers.forget(router)
+        self._routers.remove_router(router)
 
     def tick(self, now_ms: float) -> list[Send]:
         """Refuse expired tickets, refresh the endpoints and check for silent routers."""
--- a/packages/core/src/tamarack_core/fair_queue.py
+++ b/packages/core/src/tamarack_core/fair_queue.py
@@ -48,7 +48,7 @@
         Amount added to the counter when the workspace returns from idleness.
     factor
         Multiplier of the own grants since the last exchange.
-    unit, place
+    unit, stagger
         Expected charge of one grant, and the number of such charges that delay this shard.
     """
 
@@ -61,7 +61,7 @@
         self.lift = 0.0
         self.factor = 1.0
         self.unit = 0.0
-        self.place = 0
+        self.stagger = 0
         self.heap_key = 0.0
         self.idle_since_ms = float("-inf")
         self.heap: list[tuple[tuple[float, float, str], str]] = []
@@ -82,7 +82,7 @@
         """Sort key among workspaces; inlines `counter`, since each grant reads it many times."""
         own = self.charged - self.refunded
         others = self.remote + (own - self.exchanged) * (self.factor - 1.0)
-        return own + others + self.lift + self.unit * self.place
+        return own + others + self.lift + self.unit * self.stagger
 
 
 class FairQueue:
@@ -213,7 +213,7 @@
         flow = self._flow(workspace)
         flow.unit = cost / flow.weight
 
-    def raise_to(self, workspace: str, counter: float) -> None:
+    def raise_counter(self, workspace: str, counter: float) -> None:
         """Raise a counter to at least the value reported by an earlier dispatcher."""
         flow = self._flow(workspace)
         flow.lift += max(0.0, counter - flow.counter)
@@ -240,14 +240,14 @@
             self._reindex(workspace, flow)
 
     def override(
-        self, workspace: str, *, factor: float | None = None, place: int | None = None
+        self, workspace: str, *, factor: float | None = None, stagger: int | None = None
     ) -> None:
-        """Override the factor or the place of a workspace, for experiments."""
+        """Override the factor or the stagger of a workspace, for experiments."""
         flow = self._flow(workspace)
         flow.factor = flow.factor if factor is None else max(1.0, factor)
-        flow.place = flow.place if place is None else place
+        flow.stagger = flow.stagger if stagger is None else stagger
 
-    def reweigh(self, weights: dict[str, float], default_weight: float) -> None:
+    def set_weights(self, weights: dict[str, float], default_weight: float) -> None:
         """Apply the weights of another preset; counters are unchanged."""
         self._weights = weights
         self._default_weight = default_weight
@@ -260,7 +260,7 @@
             weight = self._weights.get(workspace, self._default_weight)
             flow = self._flows[workspace] = _Flow(weight)
             offset = xxhash.xxh32_intdigest(workspace.encode())
-            flow.place = (self._shard + offset) % self._shards
+            flow.stagger = (self._shard + offset) % self._shards
             flow.unit = self._unit / weight
         return flow
 
--- a/packages/core/src/tamarack_core/keeper.py
+++ b/packages/core/src/tamarack_core/key_owner.py
@@ -41,7 +41,7 @@
     run: str = ""
 
 
-class Keeper:
+class KeyOwner:
     """Key owner: claims of the keys that name this router and its current incarnation.
 
     Parameters
--- a/packages/core/src/tamarack_core/membership.py
+++ b/packages/core/src/tamarack_core/membership.py
@@ -118,7 +118,7 @@
         lost = sum(1 for k in recent if k.update.state in (SUSPECT, DEAD))
         return bool(recent) and lost * 2 > len(recent)
 
-    def describe(self, *, config_version: int | None = None, room: int | None = None) -> None:
+    def update_self(self, *, config_version: int | None = None, room: int | None = None) -> None:
         """Change the router's published entry."""
         me = self._me
         version = me.config_version if config_version is None else config_version
@@ -162,7 +162,7 @@
             sends.extend(self._start_probe(now_ms))
         return sends
 
-    def doubt(self, router: str, now_ms: float) -> list[Send]:
+    def probe_now(self, router: str, now_ms: float) -> list[Send]:
         """Probe a member immediately, after an indication that it may be unreachable.
 
         The regular rotation probes each member once per as many intervals as there are members.
@@ -173,7 +173,7 @@
             return []
         return [self._begin_probe(router, now_ms)]
 
-    def heard(self, router: str, now_ms: float) -> None:
+    def record_message(self, router: str, now_ms: float) -> None:
         """Record that a message of a member was received."""
         known = self._known.get(router)
         if known is not None:
@@ -224,7 +224,7 @@
         return now_ms - known.since_ms < FORGET_DEAD_MS
 
     def _confirm_alive(self, router: str, sequence: int, now_ms: float) -> None:
-        self.heard(router, now_ms)
+        self.record_message(router, now_ms)
         probe = self._probes.get(router)
         if probe is not None and probe.sequence == sequence:
             del self._probes[router]
--- a/packages/core/src/tamarack_core/refusals.py
+++ b/packages/core/src/tamarack_core/refusals.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tamarack_core.errors import ErrorCode, Outcome, Refusal
-from tamarack_core.keeper import CONFLICT, FULL, UNKNOWN
+from tamarack_core.key_owner import CONFLICT, FULL, UNKNOWN
 
 RETRY_AFTER_MS = 1_000
 
--- a/packages/core/src/tamarack_core/request_table.py
+++ b/packages/core/src/tamarack_core/request_table.py
@@ -39,8 +39,8 @@
     Usage,
 )
 from tamarack_core.errors import ErrorCode, Outcome, Refusal
-from tamarack_core.keeper import DONE, FRESH, ORPHAN, RELEASED, RUNNING
-from tamarack_core.key_actions import claim_key, keeper_of, tell_done, tell_running
+from tamarack_core.key_actions import claim_key, key_owner_of, report_done, report_running
+from tamarack_core.key_owner import DONE, FRESH, ORPHAN, RELEASED, RUNNING
 from tamarack_core.refusals import MESSAGES, RETRY_AFTER_MS, claim_refusal
 from tamarack_core.rendezvous import ranked
 from tamarack_core.request_spec import RequestSpec
@@ -111,17 +111,17 @@
             return self._submit_tickets(held, now_ms)
         held.state = "claiming"
         held.claim_sent_ms = now_ms
-        held.claim_asked = keeper_of(spec)
+        held.claim_owner = key_owner_of(spec)
         return [claim_key(spec)]
 
-    def claim_answer(self, keeper: str, answer: ClaimAnswer, now_ms: float) -> list[Action]:
+    def claim_answer(self, key_owner: str, answer: ClaimAnswer, now_ms: float) -> list[Action]:
         """Continue a request according to its key owner's decision."""
         held = self._held.get(answer.request)
         if held is None or held.state != "claiming":
             # The caller has disconnected; its claim is released so that a retry can run.
             self._counts["claim_unmatched"] += 1
             if answer.state == FRESH:
-                return [Send(keeper, ClaimDone(answer.request, RELEASED))]
+                return [Send(key_owner, ClaimDone(answer.request, RELEASED))]
             return []
         return self._apply_claim(held, answer, now_ms)
 
@@ -156,16 +156,16 @@
             return []
         self._counts["cancelled"] += 1
         actions = self._withdraw(held, now_ms)
-        actions.extend(tell_done(held.spec, RELEASED))
+        actions.extend(report_done(held.spec, RELEASED))
         del self._held[request]
         return actions
 
     def progress(self, request: str, cost: float, now_ms: float) -> list[Action]:
         """Report progress when a run's cost exceeds what it has been charged."""
         held = self._held.get(request)
-        if held is None or held.grant is None or cost <= held.told_cost:
+        if held is None or held.grant is None or cost <= held.reported_cost:
             return []
-        held.told_cost = cost * (1.0 + PROGRESS_STEP)
+        held.reported_cost = cost * (1.0 + PROGRESS_STEP)
         return self._report(held, Usage(request, round(cost), USAGE_RUNNING))
 
     def finished(
@@ -176,10 +176,10 @@
         if held is None:
             return []
         actions = self._settle(held, Usage(request, round(cost), usage_state))
-        actions.extend(tell_done(held.spec, key_state))
+        actions.extend(report_done(held.spec, key_state))
         return actions
 
-    def again(
+    def requeue(
         self, request: str, usage: Usage, now_ms: float, *, sent: bool
     ) -> list[Action] | None:
         """Requeue a request after an endpoint failure; None if it may not run again.
@@ -205,9 +205,9 @@
 
     def grants(self, sender: str, message: Grants, now_ms: float) -> list[Action]:
         """Start granted requests; grants that cannot be used are returned."""
-        link = self._links.heard(message.shard, sender, message.term, now_ms)
+        link = self._links.record_message(message.shard, sender, message.term, now_ms)
         if link is not None:
-            link.remember(message.counters)
+            link.store_counters(message.counters)
         actions: list[Action] = []
         for grant in message.grants:
             actions.extend(self._handle_grant(sender, message.shard, grant, now_ms))
@@ -215,7 +215,7 @@
 
     def refusals(self, sender: str, message: RefuseTickets, now_ms: float) -> list[Action]:
         """Refuse the requests whose tickets the dispatcher refused."""
-        self._links.heard(message.shard, sender, message.term, now_ms)
+        self._links.record_message(message.shard, sender, message.term, now_ms)
         actions: list[Action] = []
         for refusal in message.refusals:
             held = self._held.get(refusal.request)
@@ -230,7 +230,7 @@
 
     def poll_ack(self, sender: str, message: PollAck, now_ms: float) -> list[Action]:
         """Record that the dispatcher is alive; register again if it asks for a resync."""
-        link = self._links.heard(message.shard, sender, message.term, now_ms)
+        link = self._links.record_message(message.shard, sender, message.term, now_ms)
         if link is None or not message.resync:
             return []
         return [self._links.registration(link, now_ms)]
@@ -301,9 +301,9 @@
         held.state = "running"
         held.grant = grant
         held.grant_shard = shard
-        held.told_cost = grant.charged
+        held.reported_cost = grant.charged
         self._links.get(shard).running.add(grant.request)
-        actions.extend(tell_running(held.spec, grant.endpoint))
+        actions.extend(report_running(held.spec, grant.endpoint))
         actions.append(StartRun(grant.request, grant.endpoint, endpoint["address"], grant.charged))
         return actions
 
@@ -348,12 +348,12 @@
             # An earlier attempt may have run; `not-run` would invite the caller to run it twice.
             refusal = refusal._replace(outcome=Outcome.UNKNOWN)
         if refusal.outcome == Outcome.NOT_RUN:
-            actions.extend(tell_done(held.spec, RELEASED))
+            actions.extend(report_done(held.spec, RELEASED))
         actions.append(RefuseRequest(held.spec.request, refusal))
         return actions
 
     def _check_timeouts(self, held: TrackedRequest, now_ms: float) -> list[Action]:
-        if held.state == "claiming" and held.claim_asked:
+        if held.state == "claiming" and held.claim_owner:
             if now_ms - held.claim_sent_ms >= CLAIM_TIMEOUT_MS:
                 self._counts["keeper_silent"] += 1
                 return self._refuse(held, claim_refusal("silent", first=held.spec.first), now_ms)
--- a/packages/core/src/tamarack_core/router_accounts.py
+++ b/packages/core/src/tamarack_core/router_accounts.py
@@ -45,7 +45,7 @@
         self._granted_ms: dict[str, float] = {}
         self._mismatched: set[str] = set()
 
-    def heard(self, router: str, now_ms: float) -> None:
+    def record_message(self, router: str, now_ms: float) -> None:
         """Record a message of a router."""
         self._received_ms[router] = now_ms
 
@@ -54,7 +54,7 @@
         self.waiting[router] -= 1
         self._granted_ms[router] = now_ms
 
-    def differs_again(self, router: str, message: Poll, now_ms: float) -> bool:
+    def mismatched_twice(self, router: str, message: Poll, now_ms: float) -> bool:
         """Whether a router's numbers differ from these in two consecutive polls."""
         waiting = self.waiting[router]
         differs = waiting + self.running[router] != message.waiting + message.running
@@ -72,7 +72,7 @@
         self.waiting[router] = 0
         self._mismatched.discard(router)
 
-    def forget(self, router: str) -> None:
+    def remove_router(self, router: str) -> None:
         """Remove the accounts of a dead router."""
         for times in (self._received_ms, self._probed_ms, self._granted_ms):
             times.pop(router, None)
--- a/packages/core/src/tamarack_core/router_core.py
+++ b/packages/core/src/tamarack_core/router_core.py
@@ -37,7 +37,7 @@
     Usage,
 )
 from tamarack_core.endpoint_pool import LoadReport
-from tamarack_core.keeper import Keeper
+from tamarack_core.key_owner import KeyOwner
 from tamarack_core.key_token import KeyToken
 from tamarack_core.membership import DEAD, Membership
 from tamarack_core.protocol import (
@@ -105,7 +105,7 @@
         self._host = DispatchHost(
             self._membership, shard_size=shard_size, exchange_ms=exchange_ms, order=order
         )
-        self._keeper = Keeper(me.router, self._boot, now_ms)
+        self._key_owner = KeyOwner(me.router, self._boot, now_ms)
         self._config = Configuration()
         self._boots: dict[str, int] = {}
         self._known_dead: set[str] = set()
@@ -133,9 +133,9 @@
         return self._host
 
     @property
-    def keeper(self) -> Keeper:
+    def key_owner(self) -> KeyOwner:
         """Keys owned by this router."""
-        return self._keeper
+        return self._key_owner
 
     @property
     def counts(self) -> Counter[str]:
@@ -149,12 +149,12 @@
 
     def token(self, now_ms: float) -> KeyToken:
         """Token for new idempotency keys, returned with an address response."""
-        return self._keeper.token(now_ms)
+        return self._key_owner.token(now_ms)
 
     def configure(self, config: Configuration, now_ms: float) -> None:
         """Apply a configuration."""
         self._config = config
-        self._membership.describe(config_version=config.version)
+        self._membership.update_self(config_version=config.version)
         self._requests.configure(config)
         self._host.configure(config, now_ms)
 
@@ -162,9 +162,9 @@
         """Probe these addresses for members."""
         return list(self._membership.join(addresses))
 
-    def doubt(self, router: str, now_ms: float) -> list[Action]:
+    def probe_now(self, router: str, now_ms: float) -> list[Action]:
         """Probe a member immediately."""
-        return list(self._membership.doubt(router, now_ms))
+        return list(self._membership.probe_now(router, now_ms))
 
     def leave(self) -> list[Action]:
         """Publish that this router accepts no new requests, and hand over its shards."""
@@ -177,7 +177,7 @@
         if not self._check_incarnation(frame.sender, frame.incarnation, now_ms):
             return []
         actions: list[Action] = []
-        self._membership.heard(frame.sender, now_ms)
+        self._membership.record_message(frame.sender, now_ms)
         for message in frame.messages:
             actions.extend(self._handle(frame.sender, message, now_ms))
         return self._deliver_local(actions, now_ms)
@@ -205,11 +205,11 @@
         actions = self._requests.finished(request, cost, usage_state, key_state, now_ms)
         return self._deliver_local(actions, now_ms)
 
-    def again(
+    def retry(
         self, request: str, usage: Usage, now_ms: float, *, sent: bool
     ) -> list[Action] | None:
         """Retry a request at another endpoint; None if it may not run again."""
-        actions = self._requests.again(request, usage, now_ms, sent=sent)
+        actions = self._requests.requeue(request, usage, now_ms, sent=sent)
         return None if actions is None else self._deliver_local(actions, now_ms)
 
     def report(self, endpoint: str, load: LoadReport, now_ms: float) -> None:
@@ -277,7 +277,7 @@
     def _handle_router_loss(self, router: str, boot: int, now_ms: float) -> None:
         self._counts["router_gone"] += 1
         self._host.router_gone(router, now_ms)
-        self._keeper.router_gone(request_prefix(router, boot))
+        self._key_owner.router_gone(request_prefix(router, boot))
 
     # Membership
 
@@ -370,7 +370,7 @@
 
     @handles(Claim)
     def _on_claim(self, sender: str, message: Claim, now_ms: float) -> list[Action]:
-        return [Send(sender, self._keeper.claim(message, now_ms))]
+        return [Send(sender, self._key_owner.claim(message, now_ms))]
 
     @handles(ClaimAnswer)
     def _on_claim_answer(self, sender: str, message: ClaimAnswer, now_ms: float) -> list[Action]:
@@ -378,12 +378,12 @@
 
     @handles(ClaimRunning)
     def _on_claim_running(self, sender: str, message: ClaimRunning, now_ms: float) -> list[Action]:
-        self._keeper.running(message)
+        self._key_owner.running(message)
         return []
 
     @handles(ClaimDone)
     def _on_claim_done(self, sender: str, message: ClaimDone, now_ms: float) -> list[Action]:
-        self._keeper.done(message)
+        self._key_owner.done(message)
         return []
 
     # Handled outside the core
--- a/packages/core/src/tamarack_core/shard_link.py
+++ b/packages/core/src/tamarack_core/shard_link.py
@@ -60,7 +60,7 @@
         """Whether no request is outstanding."""
         return not self.waiting and not self.running
 
-    def heard(self, sender: str, term: int, now_ms: float) -> bool:
+    def record_message(self, sender: str, term: int, now_ms: float) -> bool:
         """Record a dispatcher's message; False if it is not of the current dispatcher and term."""
         if sender != self.target or term < self.term:
             return False
@@ -80,7 +80,7 @@
         self._unanswered_ms = None
         return True
 
-    def aim(self, candidates: Candidates, now_ms: float) -> bool:
+    def switch_target(self, candidates: Candidates, now_ms: float) -> bool:
         """Switch to the preferred dispatcher; True if this replaces an earlier target."""
         preferred = self._preferred(candidates, now_ms)
         if preferred == self.target:
@@ -96,7 +96,7 @@
         if self._unanswered_ms is None:
             self._unanswered_ms = now_ms
 
-    def give_up_if_silent(self, now_ms: float) -> bool:
+    def avoid_if_silent(self, now_ms: float) -> bool:
         """Avoid the dispatcher if it is silent while tickets wait; True if so."""
         # Messages of a router to itself cannot be lost.
         if not self.waiting or self._unanswered_ms is None or self.target == self._router:
@@ -123,7 +123,7 @@
         self._polled_ms = now_ms
         return Poll(self.shard, self.term, len(self.waiting), len(self.running))
 
-    def remember(self, counters: dict[str, float]) -> None:
+    def store_counters(self, counters: dict[str, float]) -> None:
         """Store counters that a dispatcher reported, for its successor."""
         self._counters.update(counters)
         # Without a bound each link would store a counter of every workspace.
--- a/packages/core/src/tamarack_core/shard_links.py
+++ b/packages/core/src/tamarack_core/shard_links.py
@@ -53,17 +53,19 @@
             link = self._links[shard] = ShardLink(shard, self._router)
         return link
 
-    def heard(self, shard: ShardKey, sender: str, term: int, now_ms: float) -> ShardLink | None:
+    def record_message(
+        self, shard: ShardKey, sender: str, term: int, now_ms: float
+    ) -> ShardLink | None:
         """Record a dispatcher's message; None if it is not of the current dispatcher and term."""
         link = self._links.get(shard)
-        if link is None or not link.heard(sender, term, now_ms):
+        if link is None or not link.record_message(sender, term, now_ms):
             self._counts["stale_term"] += 1
             return None
         return link
 
     def retarget(self, link: ShardLink, now_ms: float) -> list[Action]:
         """Switch to the preferred dispatcher; register with it if it replaces another."""
-        if not link.aim(self._candidates, now_ms):
+        if not link.switch_target(self._candidates, now_ms):
             return []
         self._counts["retarget"] += 1
         return [self.registration(link, now_ms)]
@@ -96,7 +98,7 @@
 
     def _check(self, link: ShardLink, now_ms: float) -> list[Action]:
         actions = self.retarget(link, now_ms)
-        if link.give_up_if_silent(now_ms):
+        if link.avoid_if_silent(now_ms):
             self._counts["dispatcher_silent"] += 1
             actions.extend(self.retarget(link, now_ms))
         poll = link.due_poll(now_ms)
--- a/packages/core/src/tamarack_core/tracked_request.py
+++ b/packages/core/src/tamarack_core/tracked_request.py
@@ -11,13 +11,13 @@
 
     Attributes
     ----------
-    claim_asked
+    claim_owner
         Key owner that received the claim, empty if none did.
     state
         `new`, `claiming`, `waiting` or `running`.
     shards
         Shards that received a ticket of the request.
-    told_cost
+    reported_cost
         Cost up to which progress need not be reported to the dispatcher.
     exclude
         Endpoint that failed the request.
@@ -29,12 +29,12 @@
         self.spec = spec
         self.since_ms = now_ms
         self.claim_sent_ms = 0.0
-        self.claim_asked = ""
+        self.claim_owner = ""
         self.state = "new"
         self.shards: list[ShardKey] = []
         self.grant: Grant | None = None
         self.grant_shard: ShardKey | None = None
-        self.told_cost = 0.0
+        self.reported_cost = 0.0
         self.exclude = ""
         self.maybe_ran = False
 
@@ -56,5 +56,5 @@
         """The grant in use, for registration with a new dispatcher; None if there is none."""
         if self.grant is None:
             return None
-        charged = max(self.grant.charged, self.told_cost)
+        charged = max(self.grant.charged, self.reported_cost)
         return RunningGrant(self.spec.request, self.spec.workspace, self.grant.endpoint, charged)
--- a/packages/core/src/tamarack_core/wire.py
+++ b/packages/core/src/tamarack_core/wire.py
@@ -46,7 +46,7 @@
 _OWNERS: dict[type, Owner] = {}
 
 
-def speaks_of(owner: Owner) -> Callable[[T], T]:
+def with_ids_of(owner: Owner) -> Callable[[T], T]:
     """Declare whose request ids a message with `with_ids` contains."""
 
     def register(cls: T) -> T:
--- a/packages/router/src/tamarack_router/control.py
+++ b/packages/router/src/tamarack_router/control.py
@@ -21,11 +21,11 @@
 )
 from tamarack_core.claim_messages import AnswerPart, AnswerQuery
 from tamarack_core.clock import Clock
-from tamarack_core.config_follower import AskPeer, AskStore, ConfigFollower
+from tamarack_core.config_follower import ConfigFollower, QueryPeer, QueryStore
 from tamarack_core.configuration import Configuration
 from tamarack_core.dispatch_messages import USAGE_FAILED, USAGE_UNREACHABLE, Usage
 from tamarack_core.errors import ErrorCode, Outcome, Refusal
-from tamarack_core.keeper import RELEASED, UNKNOWN
+from tamarack_core.key_owner import RELEASED, UNKNOWN
 from tamarack_core.protocol import ChangesAnswer, ChangesQuery
 from tamarack_core.router_core import RouterCore
 from tamarack_core.wire import decode, request_prefix
@@ -157,10 +157,10 @@
             self._processed_updates = self._core.membership.updates
             for member in self._core.membership.members[1:]:
                 self._follower.peer_version(member.router, member.config_version)
-        self._ask_for_changes(now_ms)
+        self._query_changes(now_ms)
         if now_ms >= self._next_view_ms:
             self._next_view_ms = now_ms + VIEW_INTERVAL_MS
-            self._core.membership.describe(room=self._room())
+            self._core.membership.update_self(room=self._room())
             self._links.close_idle(now_ms)
             if self._load is not None:
                 self._load.watch(self._core.host.watched())
@@ -169,12 +169,12 @@
             # Published at once: until then the listeners still name a suspected router to callers.
             self._publish(now_ms)
 
-    def _ask_for_changes(self, now_ms: float) -> None:
-        question = self._follower.next_question(now_ms, store_up=self._store_up)
-        if isinstance(question, AskPeer):
-            self._send(question.router, "", ChangesQuery(question.after))
-        elif isinstance(question, AskStore) and self._platform is not None:
-            self._platform.read_changes(question.after)
+    def _query_changes(self, now_ms: float) -> None:
+        query = self._follower.next_query(now_ms, store_up=self._store_up)
+        if isinstance(query, QueryPeer):
+            self._send(query.router, "", ChangesQuery(query.after))
+        elif isinstance(query, QueryStore) and self._platform is not None:
+            self._platform.read_changes(query.after)
 
     # Actions of the core
 
@@ -234,7 +234,7 @@
         was_ready = self._follower.ready
         if snapshot is not None:
             self._follower.restore(snapshot)
-        self._follower.offer(changes)
+        self._follower.apply_changes(changes)
         config = self._follower.config
         if config.version != before:
             now_ms = self._clock.now_ms
@@ -273,7 +273,7 @@
 
     @handles(DoubtRouter)
     def _on_doubt(self, message: DoubtRouter) -> None:
-        self._perform(self._core.doubt(message.router, self._clock.now_ms))
+        self._perform(self._core.probe_now(message.router, self._clock.now_ms))
 
     @handles(RunProgress)
     def _on_progress(self, message: RunProgress) -> None:
@@ -297,7 +297,7 @@
         now_ms = self._clock.now_ms
         state = USAGE_FAILED if message.sent else USAGE_UNREACHABLE
         usage = Usage(message.request, message.cost, state)
-        actions = self._core.again(message.request, usage, now_ms, sent=message.sent)
+        actions = self._core.retry(message.request, usage, now_ms, sent=message.sent)
         if actions is not None:
             self._perform(actions)
             return
@@ -318,7 +318,7 @@
             self._store_answered_ms = now_ms
             self._store_up = True
             self._follower.store_head(message.version)
-            self._ask_for_changes(now_ms)
+            self._query_changes(now_ms)
         elif now_ms - self._store_answered_ms >= STORE_DOWN_MS:
             self._store_up = False
 
--- a/packages/router/src/tamarack_router/platform_task.py
+++ b/packages/router/src/tamarack_router/platform_task.py
@@ -9,7 +9,7 @@
 from tamarack_core.claim_messages import ClaimAnswer
 from tamarack_core.configuration import Configuration
 from tamarack_core.configuration_entries import Change
-from tamarack_core.keeper import CONFLICT, FRESH, RELEASED, RUNNING
+from tamarack_core.key_owner import CONFLICT, FRESH, RELEASED, RUNNING
 from tamarack_router.config_store import SNAPSHOT_EVERY, ConfigStore
 from tamarack_router.logs import PartLog
 from tamarack_router.mailbox import Mailbox
--- a/packages/router/src/tamarack_router/relay.py
+++ b/packages/router/src/tamarack_router/relay.py
@@ -14,7 +14,7 @@
 from tamarack_core.clock import Clock
 from tamarack_core.dispatch_messages import USAGE_FAILED, USAGE_FINISHED, USAGE_RETURNED
 from tamarack_core.errors import ErrorCode, Outcome, Refusal
-from tamarack_core.keeper import DONE, ORPHAN, RELEASED, UNKNOWN
+from tamarack_core.key_owner import DONE, ORPHAN, RELEASED, UNKNOWN
 from tamarack_router.caller_sockets import CallerSockets
 from tamarack_router.endpoint_cancel import cancel_at_endpoint
 from tamarack_router.followed_requests import FollowedRequests
--- a/packages/router/src/tamarack_router/view_publisher.py
+++ b/packages/router/src/tamarack_router/view_publisher.py
@@ -80,7 +80,7 @@
         gauges: dict[str, float] = {
             "requests_waiting": self._core.requests.waiting,
             "requests_running": self._core.requests.running,
-            "keys_kept": len(self._core.keeper),
+            "keys_kept": len(self._core.key_owner),
             "config_version": self._follower.config.version,
             "config_head": self._follower.head,
             "store_up": float(store_up),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 from known_red import pytest_collection_modifyitems as pytest_collection_modifyitems
 
 from tamarack_core.actions import Action, Send
-from tamarack_core.clock import HeldClock
+from tamarack_core.clock import ManualClock
 from tamarack_core.configuration import Configuration
 from tamarack_core.configuration_entries import Change, EntryPut
 from tamarack_core.protocol import MemberUpdate
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, names: list[str], config: Configuration, **options: int) -> None:
-        self.clock = HeldClock(1_000.0)
+        self.clock = ManualClock(1_000.0)
         self.cores: dict[str, RouterCore] = {}
         self.cut: set[tuple[str, str]] = set()
         self.frozen: set[str] = set()
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tamarack_core.config_follower import AskPeer, AskStore, ConfigFollower, encode_change
+from tamarack_core.config_follower import ConfigFollower, QueryPeer, QueryStore, encode_change
 from tamarack_core.configuration import Configuration
 from tamarack_core.configuration_entries import Change, EntryName, EntryPut
 from tamarack_core.dispatch_messages import ShardKey
@@ -77,7 +77,7 @@
     follower = ConfigFollower()
     for batch in batches:
         before = follower.config.version
-        follower.offer([change(number) for number in batch])
+        follower.apply_changes([change(number) for number in batch])
         assert follower.config.version >= before
         assert len(follower.config.entries("workspace")) == follower.config.version
 
@@ -87,32 +87,32 @@
     # the store becomes unavailable. Only the head version of the store or of a peer shows how old
     # the snapshot is.
     source = ConfigFollower()
-    source.offer([change(number) for number in range(1, 6)])
+    source.apply_changes([change(number) for number in range(1, 6)])
     cold = ConfigFollower()
     cold.restore(source.config)
     assert not cold.ready
     cold.peer_version("r2", 7)
     assert not cold.ready
-    assert cold.next_question(0.0, store_up=False) == AskPeer("r2", 5)
-    cold.offer([change(6), change(7)])
+    assert cold.next_query(0.0, store_up=False) == QueryPeer("r2", 5)
+    cold.apply_changes([change(6), change(7)])
     assert cold.ready
 
 
 def test_a_lagging_router_queries_another_peer_after_no_answer() -> None:
     follower = ConfigFollower()
-    follower.offer([change(1)])
+    follower.apply_changes([change(1)])
     follower.peer_version("r2", 3)
     follower.peer_version("r3", 3)
-    first = follower.next_question(0.0, store_up=False)
-    second = follower.next_question(1_000.0, store_up=False)
-    assert isinstance(first, AskPeer) and isinstance(second, AskPeer)
+    first = follower.next_query(0.0, store_up=False)
+    second = follower.next_query(1_000.0, store_up=False)
+    assert isinstance(first, QueryPeer) and isinstance(second, QueryPeer)
     assert first.router != second.router
 
 
 def test_a_cold_router_with_a_store_reads_it_first() -> None:
     follower = ConfigFollower()
     follower.store_head(4)
-    assert follower.next_question(0.0, store_up=True) == AskStore(0)
+    assert follower.next_query(0.0, store_up=True) == QueryStore(0)
 
 
 def test_every_fault_of_a_change_is_found() -> None:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from tamarack_core.clock import HeldClock
+from tamarack_core.clock import ManualClock
 from tamarack_ctl.main import main
 from tamarack_gateway.decision_log import LINES_PER_S, QUEUE_LINES, DecisionLog
 
 
-def make_log(path: Path) -> tuple[DecisionLog, HeldClock, int]:
-    clock = HeldClock(50_000.0)
+def make_log(path: Path) -> tuple[DecisionLog, ManualClock, int]:
+    clock = ManualClock(50_000.0)
     output = os.open(path, os.O_CREAT | os.O_WRONLY)
     return DecisionLog("router-1", clock, output=output), clock, output
 
@@ -43,7 +43,7 @@
     This happens when the reader of the log stops and the pipe is full.
     """
     reader, writer = os.pipe()
-    clock = HeldClock(0.0)
+    clock = ManualClock(0.0)
     log = DecisionLog("router-1", clock, output=writer)
     for second in range(40):
         clock.advance(1_000.0)
--- a/tests/test_foreign_rows.py
+++ b/tests/test_foreign_rows.py
@@ -10,7 +10,7 @@
 import pytest
 from gateway_site import Fleet, configuration, connect, play, read_answer, until
 
-from tamarack_core.clock import HeldClock
+from tamarack_core.clock import ManualClock
 from tamarack_core.endpoint_registry import Endpoint, EndpointRegistry
 from tamarack_ctl.main import main
 from tamarack_gateway.decision_log import DecisionLog
@@ -351,7 +351,7 @@
     Another writer changes a bad row many times a second, or it is read repeatedly, and each read
     was logged.
     """
-    clock = HeldClock(10_000.0)
+    clock = ManualClock(10_000.0)
     log = DecisionLog("r", clock, output=2)
     unreadable = UnreadableRows(log, clock)
     for _ in range(5):
--- a/tests/test_foreign_rows_fuzz.py
+++ b/tests/test_foreign_rows_fuzz.py
@@ -13,7 +13,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from tamarack_core.clock import HeldClock
+from tamarack_core.clock import ManualClock
 from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.json_input import is_ip_port
 from tamarack_core.quarantine import QuarantinedReading
@@ -247,7 +247,7 @@
     """The feeds of a router without a store; changes are injected."""
 
     def __init__(self) -> None:
-        self.clock = HeldClock(100_000.0)
+        self.clock = ManualClock(100_000.0)
         self.log = DecisionLog("r1", self.clock, output=2)
         here = "127.0.0.1:1"
         one = GatewaySettings("r1", "a", here, here, here, here, here, here, bounds=FleetBounds())
--- a/tests/test_gateway_bounds.py
+++ b/tests/test_gateway_bounds.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tamarack_core.clock import HeldClock
+from tamarack_core.clock import ManualClock
 from tamarack_core.endpoint_registry import Endpoint
 from tamarack_gateway.decision_log import DecisionLog
 from tamarack_gateway.fleet_state import FleetState
@@ -14,7 +14,7 @@
 ADDRESS = "127.0.0.1:1"
 
 
-def state_with(clock: HeldClock, **bounds: float) -> FleetState:
+def state_with(clock: ManualClock, **bounds: float) -> FleetState:
     settings = GatewaySettings(
         router="router-1",
         failure_domain="a",
@@ -37,7 +37,7 @@
     after 2.5 s, but callers got its address until 3 s: the age limit for that was a constant that
     suits a bound of 5 s.
     """
-    clock = HeldClock()
+    clock = ManualClock()
     state = state_with(clock, revoke_ms=revoke_ms)
     state.freshness.confirm(clock.now_ms)
     while state.fresh:
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("drain_ms", [1_000.0, 2_000.0, 4_000.0])
 def test_a_missing_endpoint_is_retained_no_longer_than_it_may_get_work(drain_ms: float) -> None:
-    clock = HeldClock()
+    clock = ManualClock()
     state = state_with(clock, drain_ms=drain_ms)
     state.registry.put(Endpoint("e1", "pool", ADDRESS, "a", 4, False), clock.now_ms)
     state.registry.remove("e1", clock.now_ms, keep_until_ms=99_000.0)
--- a/tests/test_gateway_properties.py
+++ b/tests/test_gateway_properties.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tamarack_core.admission import Admission, admit
-from tamarack_core.clock import HeldClock
+from tamarack_core.clock import ManualClock
 from tamarack_core.relay_plan import CANDIDATES, SILENCE_MS, STAGGER_MS, Peer, RelayPlan
 from tamarack_core.retry_allowance import RetryAllowance
 from tamarack_core.ruleset import CallerBounds
@@ -177,7 +177,7 @@
         found.append((request.target, request.body))
         caller.answer(200, [])
 
-    connection = CallerConnection(handle, HeldClock(), CallerBounds, set())
+    connection = CallerConnection(handle, ManualClock(), CallerBounds, set())
     transport: Any = _Transport()
     connection.connection_made(transport)
     start = 0
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -6,7 +6,7 @@
 import socket
 import time
 
-from tamarack_core.clock import HeldClock
+from tamarack_core.clock import ManualClock
 from tamarack_core.errors import ErrorCode, Outcome, Refusal
 from tamarack_router.follower import Follower
 from tamarack_router.kept_answer import AnswerStore, KeptAnswer
@@ -24,7 +24,7 @@
     answers = AnswerStore(10_000, 60_000)
     tracing = Tracing("r1", "off", "", 0.0)
     limits = RunLimits(1_000, 1_000)
-    return Relay(HeldClock(), Mailbox(), answers, ShareGuard(10, 1.0), tracing, limits)
+    return Relay(ManualClock(), Mailbox(), answers, ShareGuard(10, 1.0), tracing, limits)
 
 
 def read_all(sock: socket.socket) -> bytes:
--- a/tests/test_router_core.py
+++ b/tests/test_router_core.py
@@ -14,7 +14,7 @@
     Usage,
 )
 from tamarack_core.errors import ErrorCode, Outcome
-from tamarack_core.keeper import DONE
+from tamarack_core.key_owner import DONE
 from tamarack_core.request_spec import RequestSpec
 from tamarack_router.remote_answers import SILENCE_MS
 
@@ -177,7 +177,7 @@
     trio.run(300)
     (start,) = trio.take("r1", StartRun)
     usage = Usage(request, 0.0, USAGE_UNREACHABLE)
-    actions = trio.cores["r1"].again(request, usage, trio.clock.now_ms, sent=False)
+    actions = trio.cores["r1"].retry(request, usage, trio.clock.now_ms, sent=False)
     assert actions is not None
     trio.perform("r1", actions)
     trio.run(300)
@@ -195,7 +195,7 @@
     for number in range(8):
         submit(trio, "r2", number, priority=0)
     usage = Usage(request, 5.0, USAGE_UNREACHABLE)
-    actions = trio.cores["r1"].again(request, usage, trio.clock.now_ms, sent=True)
+    actions = trio.cores["r1"].retry(request, usage, trio.clock.now_ms, sent=True)
     assert actions is not None
     trio.perform("r1", actions)
     trio.run(1_000)
@@ -210,7 +210,7 @@
     request = submit(trio, "r1", 1, repeatable=False)
     trio.run(300)
     usage = Usage(request, 5.0, USAGE_UNREACHABLE)
-    assert trio.cores["r1"].again(request, usage, trio.clock.now_ms, sent=True) is None
+    assert trio.cores["r1"].retry(request, usage, trio.clock.now_ms, sent=True) is None
 
 
 def test_a_leaving_router_hands_its_shards_over(trio: Cores) -> None:
@@ -305,7 +305,7 @@
     for core in cores.cores.values():
         assert sorted(core.membership.usable) == names
     cores.frozen = {killed}
-    cores.perform("r1", cores.cores["r1"].doubt(killed, cores.clock.now_ms))
+    cores.perform("r1", cores.cores["r1"].probe_now(killed, cores.clock.now_ms))
     cores.run(SILENCE_MS)
     for name in set(names) - cores.frozen:
         members = cores.cores[name].membership.members
@@ -315,7 +315,7 @@
 def test_an_extra_probe_does_not_suspect_a_router_that_answers(trio: Cores) -> None:
     changes = trio.cores["r1"].membership.changes
     for _ in range(40):
-        trio.perform("r1", trio.cores["r1"].doubt("r2", trio.clock.now_ms))
+        trio.perform("r1", trio.cores["r1"].probe_now("r2", trio.clock.now_ms))
         trio.run(50)
     assert trio.cores["r1"].membership.changes == changes
 
--- a/tests/test_service_shares.py
+++ b/tests/test_service_shares.py
@@ -10,7 +10,7 @@
 from test_gateway_bounds import ADDRESS, state_with
 
 from tamarack_core.admission import Admission
-from tamarack_core.clock import HeldClock
+from tamarack_core.clock import ManualClock
 from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.prompt import Prompt, blocks_of
 from tamarack_core.ruleset import (
@@ -31,7 +31,7 @@
 PROMPT = Prompt(1_000, 60, blocks_of("m", [("shared", 800), ("own", 200)]))
 
 
-def make_state(clock: HeldClock, **engines: int) -> FleetState:
+def make_state(clock: ManualClock, **engines: int) -> FleetState:
     """A router's local state with the given number of engines of each service."""
     state = state_with(clock)
     services = [Service(name, 100, EngineTraits(16, 500_000, 6)) for name in engines]
@@ -62,7 +62,7 @@
 
 def test_a_workspace_beyond_its_share_at_one_service_may_use_idle_engines_of_another() -> None:
     """Failure: a workspace is refused beside idle engines for its service at another pool."""
-    clock = HeldClock(10_000.0)
+    clock = ManualClock(10_000.0)
     state = make_state(clock, busy=2, idle=2)
     flood, other = Tokens("flood", 20_000_000, 4_000_000), Tokens("other", 9_000_000, 1_000_000)
     state.take_placements(placements_of(busy=[flood, other]))
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("known", [True, False])
 def test_reports_of_an_unknown_service_are_not_stored(known: bool) -> None:
     """Failure: a peer that reports unknown services makes a router's memory grow without bound."""
-    clock = HeldClock(10_000.0)
+    clock = ManualClock(10_000.0)
     state = make_state(clock, **({"pool": 1} if known else {}))
     for number in range(1_000):
         state.take_placements(placements_of(**{f"s{number}": [Tokens("w", 10, 10)]}))
@@ -88,10 +88,10 @@
 
 def test_throughput_is_divided_between_services_by_their_engines() -> None:
     """Failure: the throughput of all services together is assumed for each of them."""
-    state = make_state(HeldClock(), large=3, small=1)
+    state = make_state(ManualClock(), large=3, small=1)
     assert state.throughput("large") == pytest.approx(0.75 * TOKENS_PER_S)
     assert state.throughput("small") == pytest.approx(0.25 * TOKENS_PER_S)
-    assert make_state(HeldClock(), only=1).throughput("only") == TOKENS_PER_S
+    assert make_state(ManualClock(), only=1).throughput("only") == TOKENS_PER_S
 
 
 _ROW = st.tuples(
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -8,7 +8,7 @@
 import pytest
 from gateway_site import Fleet, configuration, play, until
 
-from tamarack_core.clock import HeldClock
+from tamarack_core.clock import ManualClock
 from tamarack_core.relay_plan import SMALL_FLEET
 from tamarack_gateway.fleet_members import READERS, FleetMembers, Member
 from tamarack_gateway.fleet_state import KEPT_PART
@@ -29,7 +29,7 @@
     """A follower that never calls the store; it starts at version 10 of the table."""
 
     def __init__(self) -> None:
-        self.clock = HeldClock(100_000.0)
+        self.clock = ManualClock(100_000.0)
         self.changes: list[TableChange] = []
         client: Any = None
         self.follower = TableFollower(
