--- a/packages/bench/src/tamarack_bench/placement_bench.py
+++ b/packages/bench/src/tamarack_bench/placement_bench.py
@@ -6,10 +6,10 @@
 import time
 
 from tamarack_core.admitted_placement import Engines, Terms, place_admitted
-from tamarack_core.endpoint_book import Endpoint
 from tamarack_core.endpoint_record import EndpointRecord
+from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.engine_model import EngineModel
-from tamarack_core.prompt import Prompt, PromptPart
+from tamarack_core.prompt import PrefixBlock, Prompt
 from tamarack_core.workspace_shares import WorkspaceShares
 
 SHARED_BLOCKS = 60
@@ -33,18 +33,18 @@
     models = {name: EngineModel() for name in names}
     records = {name: EndpointRecord() for name in names}
     shares = WorkspaceShares(WINDOW_MS, 0.0)
-    parts = [PromptPart(f"part-{number}", SHARED_BLOCK_TOKENS) for number in range(SHARED_BLOCKS)]
+    parts = [PrefixBlock(f"part-{number}", SHARED_BLOCK_TOKENS) for number in range(SHARED_BLOCKS)]
     for part in parts:
-        models[rng.choice(names)].keep((part,))
+        models[rng.choice(names)].add_blocks((part,))
     for name in names:
-        models[name].sent_elsewhere(rng.expovariate(1 / 100.0), WINDOW_MS)
+        models[name].add_peer_work(rng.expovariate(1 / 100.0), WINDOW_MS)
     for number in range(workspaces):
         shares.count(f"w{number}", 20_000.0, 9_000.0, WINDOW_MS)
     found = Engines(endpoints, models, records)
     started = time.perf_counter()
     for number in range(DECISIONS):
         part = parts[number % SHARED_BLOCKS]
-        own = PromptPart(f"own-{number}", UNSHARED_TOKENS)
+        own = PrefixBlock(f"own-{number}", UNSHARED_TOKENS)
         prompt = Prompt(SHARED_BLOCK_TOKENS + UNSHARED_TOKENS, 100, (part, own))
         position = shares.position(f"w{number % workspaces}", TOKENS_PER_S, WINDOW_MS)
         place_admitted(prompt, found, position, TERMS, WINDOW_MS)
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -10,8 +10,8 @@
 import pytest
 from gateway_site import Answer, Fleet, configuration, play, until
 
-from tamarack_core.endpoint_book import DOUBTED_MS, Endpoint, EndpointBook
-from tamarack_core.prompt import PromptPart
+from tamarack_core.endpoint_registry import DEFERRED_MS, Endpoint, EndpointRegistry
+from tamarack_core.prompt import PrefixBlock
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.outbox import Placed, Placements, Seen
 from tamarack_standins.fault_proxy import FaultProxy
@@ -19,7 +19,7 @@
 
 STREAM = Script(events=5)
 NEXT_BORN_MS = BORN_MS + 60_000
-PART = PromptPart("m/aa", 200)
+PART = PrefixBlock("m/aa", 200)
 
 
 def entry(name: str, life: int | None, *, draining: bool = False) -> Endpoint:
@@ -27,7 +27,7 @@
 
 
 def incarnation_of(state: FleetState, name: str) -> int | None:
-    endpoint = state.book.find(name)
+    endpoint = state.registry.find(name)
     return endpoint.life if endpoint is not None else None
 
 
@@ -47,16 +47,16 @@
     A draining endpoint terminates and restarts; a write of its former incarnation is done after
     those of the present one. The last entry must not win regardless of its incarnation.
     """
-    book = EndpointBook(kept_ms=1_700.0)
-    book.put(entry("e1", 2), 0.0)
-    book.put(entry("e1", 1, draining=True), 100.0)
-    assert book.usable("pool") == [entry("e1", 2)]
-    book.replace([entry("e1", 1)], 200.0, keep_until_ms=-1.0)
-    assert book.find("e1") == entry("e1", 2)
-    book.put(entry("e1", 2), 1_200.0)
-    assert book.next_expiry_ms is None
-    book.expire(1e9)
-    assert book.find("e1") == entry("e1", 2)
+    registry = EndpointRegistry(kept_ms=1_700.0)
+    registry.put(entry("e1", 2), 0.0)
+    registry.put(entry("e1", 1, draining=True), 100.0)
+    assert registry.usable("pool") == [entry("e1", 2)]
+    registry.replace([entry("e1", 1)], 200.0, keep_until_ms=-1.0)
+    assert registry.find("e1") == entry("e1", 2)
+    registry.put(entry("e1", 2), 1_200.0)
+    assert registry.next_expiry_ms is None
+    registry.expire(1e9)
+    assert registry.find("e1") == entry("e1", 2)
 
 
 def test_an_endpoint_whose_clock_was_set_back_is_accepted_later() -> None:
@@ -65,22 +65,22 @@
     Its clock is set back and it restarts, so that the present incarnation looks older than the
     former one; later it drains. Entries of an older incarnation must not be ignored forever.
     """
-    book = EndpointBook(kept_ms=1_700.0)
-    book.put(entry("e1", 2), 0.0)
-    book.put(entry("e1", 1), 100.0)
-    book.put(entry("e1", 1), 1_300.0)
-    assert book.next_expiry_ms == 100.0 + DOUBTED_MS
-    assert book.expire(100.0 + DOUBTED_MS) == []
-    assert book.find("e1") == entry("e1", 1)
-    book.put(entry("e1", 1, draining=True), 9_000.0)
-    assert book.usable("pool") == []
+    registry = EndpointRegistry(kept_ms=1_700.0)
+    registry.put(entry("e1", 2), 0.0)
+    registry.put(entry("e1", 1), 100.0)
+    registry.put(entry("e1", 1), 1_300.0)
+    assert registry.next_expiry_ms == 100.0 + DEFERRED_MS
+    assert registry.expire(100.0 + DEFERRED_MS) == []
+    assert registry.find("e1") == entry("e1", 1)
+    registry.put(entry("e1", 1, draining=True), 9_000.0)
+    assert registry.usable("pool") == []
 
 
 def test_an_endpoint_that_drained_gets_requests_in_its_next_incarnation() -> None:
-    book = EndpointBook(kept_ms=1_700.0)
-    book.put(entry("e1", 1, draining=True), 0.0)
-    book.put(entry("e1", 2), 100.0)
-    assert book.usable("pool") == [entry("e1", 2)]
+    registry = EndpointRegistry(kept_ms=1_700.0)
+    registry.put(entry("e1", 1, draining=True), 0.0)
+    registry.put(entry("e1", 2), 100.0)
+    assert registry.usable("pool") == [entry("e1", 2)]
 
 
 def test_endpoints_without_an_incarnation_are_used() -> None:
@@ -113,13 +113,13 @@
             state = fleet.gateway.state
             assert (await fleet.ask("/draft/1")).status == 200
             model, record = state.models["e1"], state.records["e1"]
-            assert model.keeps(PART)
-            model.seen_elsewhere(900.0, 3.0, state.clock.now_ms)
+            assert model.caches(PART)
+            model.observe_peer(900.0, 3.0, state.clock.now_ms)
             record.failed(state.clock.now_ms, 3.0)
             await restart(fleet, engine, "pool")
             now_ms = state.clock.now_ms
             model, record = state.models["e1"], state.records["e1"]
-            assert not model.keeps(PART)
+            assert not model.caches(PART)
             assert (model.wait_ms(now_ms), model.pace(now_ms)) == (0.0, 1.0)
             assert (record.failures(now_ms), record.outstanding) == (0.0, 0)
 
@@ -144,7 +144,7 @@
                 seen = Seen("e1", 800.0, 4.0, life)
                 fleet.gateway.state.take_placements(Placements([placed], {}, [seen]))
                 model, now_ms = state.models["e1"], state.clock.now_ms
-                return model.keeps(PART) or model.wait_ms(now_ms) > 0 or model.pace(now_ms) > 1
+                return model.caches(PART) or model.wait_ms(now_ms) > 0 or model.pace(now_ms) > 1
 
             assert not is_applied(NEXT_BORN_MS)
             await restart(fleet, engine, "pool")
@@ -244,9 +244,9 @@
             other.born = NEXT_BORN_MS
             async with fleet.router("router-2") as router:
                 await until(lambda: router.state.ready)
-                await until(lambda: router.state.models["e2"].keeps(PART))
+                await until(lambda: router.state.models["e2"].caches(PART))
                 await until(lambda: router._inventory.done)
-                assert not router.state.models["e1"].keeps(PART)
+                assert not router.state.models["e1"].caches(PART)
 
     play(run())
 
@@ -358,11 +358,11 @@
             await fleet.store.put("op", "config", value)
             await until(lambda: state.rules is not None and state.rules.version == 2)
             assert (await fleet.ask("/draft/1")).status == 200
-            assert not state.models["e1"].keeps(PART)
+            assert not state.models["e1"].caches(PART)
             value["services"][-1]["engine"]["kvCapacityTokens"] = 100_000
             await fleet.store.put("op", "config", {**value, "version": 3})
             await until(lambda: state.rules is not None and state.rules.version == 3)
             assert (await fleet.ask("/draft/1")).status == 200
-            assert state.models["e1"].keeps(PART)
+            assert state.models["e1"].caches(PART)
 
     play(run())
