--- a/packages/gateway/src/tamarack_gateway/patience.py
+++ b/packages/gateway/src/tamarack_gateway/answer_timeouts.py
@@ -29,7 +29,7 @@
 """Minimum of that timeout in milliseconds."""
 
 
-class Patience:
+class AnswerTimeouts:
     """Waits for the answers to one request, with a timeout where the request may be retried.
 
     Parameters
--- a/packages/gateway/src/tamarack_gateway/caller_connection.py
+++ b/packages/gateway/src/tamarack_gateway/caller_connection.py
@@ -49,7 +49,7 @@
         Returns the limits in force.
     registry
         The set of open connections, to which this one adds itself.
-    crowded
+    near_limit
         Returns whether so many connections are open that each closes after the answer in progress.
 
     Attributes
@@ -66,9 +66,9 @@
         clock: Clock,
         bounds: Callable[[], CallerBounds],
         registry: set[CallerConnection],
-        crowded: Callable[[], bool] = lambda: False,
+        near_limit: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._crowded = crowded
+        self._near_limit = near_limit
         self._answered = False
         self._handler = handler
         self._clock = clock
@@ -313,7 +313,7 @@
             self._transport.close()
 
     def _connection_headers(self) -> Headers:
-        if self.closing or not self._keep_alive or self._crowded():
+        if self.closing or not self._keep_alive or self._near_limit():
             self._keep_alive = False
             return [(b"connection", b"close")]
         return []
@@ -369,7 +369,7 @@
             self._transport.close()
 
 
-class TurnedAway(asyncio.Protocol):
+class RejectedConnection(asyncio.Protocol):
     """Protocol of a connection above the connection limit: closes it before anything is read."""
 
     def connection_made(self, transport: Any) -> None:
--- a/packages/gateway/src/tamarack_gateway/caller_handler.py
+++ b/packages/gateway/src/tamarack_gateway/caller_handler.py
@@ -9,15 +9,15 @@
 from tamarack_core.ruleset import Route
 from tamarack_gateway.caller_connection import CallerConnection
 from tamarack_gateway.connection_pool import ConnectionPool
-from tamarack_gateway.containment import Containment
-from tamarack_gateway.end_witness import EndWitness
+from tamarack_gateway.end_witness import TerminationDetector
 from tamarack_gateway.exchange import Exchange
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.gateway_metrics import GatewayMetrics
 from tamarack_gateway.http_messages import Request
-from tamarack_gateway.loop_watch import LoopWatch
+from tamarack_gateway.loop_monitor import LoopMonitor
 from tamarack_gateway.outbox import Outbox
 from tamarack_gateway.quarantine_feed import QuarantineFeed
+from tamarack_gateway.request_quarantine import RequestQuarantine
 from tamarack_gateway.site import RequestDialect, RequestFacts
 
 DENY_AGE_MS = 3_600.0
@@ -49,8 +49,8 @@
         pool: ConnectionPool,
         outbox: Outbox,
         metrics: GatewayMetrics,
-        watch: LoopWatch,
-        witness: EndWitness,
+        loop_monitor: LoopMonitor,
+        detector: TerminationDetector,
         quarantine: QuarantineFeed,
     ) -> None:
         self._state = state
@@ -58,8 +58,8 @@
         self._pool = pool
         self._outbox = outbox
         self._metrics = metrics
-        self._watch = watch
-        self._witness = witness
+        self._loop_monitor = loop_monitor
+        self._detector = detector
         self._quarantine = quarantine
         self._clock = state.clock
         self._log = state.log
@@ -74,7 +74,7 @@
             return
         rules = state.rules
         workspace = rules.workspace_of(facts.key) if rules and facts.key is not None else None
-        if self._watch.sheds(workspace):
+        if self._loop_monitor.sheds(workspace):
             # Checked before any other work: this router is overloaded, and others may not be. The
             # caller gets an answer and keeps its connection: a caller whose connection is closed
             # unread takes the address for dead, and one pinned to this router has no other.
@@ -105,7 +105,7 @@
         self._metrics.began(route)
         exchange = self._exchange(request, caller, facts, route, workspace)
         try:
-            with self._watch.taking(workspace):
+            with self._loop_monitor.in_progress(workspace):
                 await exchange.run()
         except ConnectionError as error:
             self._log.request("caller gone", facts.attempt, reason=str(error))
@@ -125,7 +125,9 @@
         workspace: str | None,
     ) -> Exchange:
         state = self._state
-        containment = Containment(state, self._witness, self._quarantine, request, facts, workspace)
+        request_quarantine = RequestQuarantine(
+            state, self._detector, self._quarantine, request, facts, workspace
+        )
         return Exchange(
             state,
             self._dialect,
@@ -136,7 +138,7 @@
             facts,
             route,
             workspace,
-            containment,
+            request_quarantine,
         )
 
     def _log_cancelled(self, exchange: Exchange, request: Request, attempt: str) -> None:
--- a/packages/gateway/src/tamarack_gateway/caller_crowd.py
+++ b/packages/gateway/src/tamarack_gateway/connection_limiter.py
@@ -12,7 +12,7 @@
 and other routers. A router without free descriptors can neither accept nor connect, and loses
 requests that it has read; callers whose connection is rejected at once go to another router."""
 
-CROWDED_FRACTION = 0.5
+NEAR_LIMIT_FRACTION = 0.5
 """Fraction of that limit from which on connections close after each answer, and callers are
 directed to other routers. Callers retry a refused request on a new connection and keep the old one
 open: at 600 requests a second they reach a limit of 2,340 connections in 4 s, and no caller can
@@ -32,7 +32,7 @@
 rejected."""
 
 
-class CallerCrowd:
+class ConnectionLimiter:
     """Admits, counts and closes callers' connections.
 
     Parameters
@@ -57,18 +57,18 @@
         self.closed = 0
 
     @property
-    def most(self) -> float:
+    def limit(self) -> float:
         """Maximum number of callers' connections."""
         return CALLER_DESCRIPTOR_FRACTION * self._state.settings.descriptors
 
     @property
-    def crowded(self) -> bool:
+    def near_limit(self) -> bool:
         """Whether callers should be directed to other routers."""
-        return len(self._connections) >= CROWDED_FRACTION * self.most
+        return len(self._connections) >= NEAR_LIMIT_FRACTION * self.limit
 
     def admit(self) -> bool:
         """Whether a new connection is accepted; idle connections are closed to make room for it."""
-        if len(self._connections) < self.most:
+        if len(self._connections) < self.limit:
             self._freed = 0
             return True
         if not self._freed:
--- a/packages/gateway/src/tamarack_gateway/connection_pool.py
+++ b/packages/gateway/src/tamarack_gateway/connection_pool.py
@@ -59,7 +59,7 @@
         """Number of idle connections to one incarnation of an endpoint."""
         return sum(len(idle) for target, idle in self._idle.items() if target.key == key)
 
-    def lives(self, endpoint: Endpoint) -> bool:
+    def has_open_connection(self, endpoint: Endpoint) -> bool:
         """Whether an idle connection to an endpoint is still open: all close when it terminates."""
         return any(connection.usable for connection in self._idle.get(_target(endpoint), []))
 
@@ -98,17 +98,17 @@
         else:
             connection.abort()
 
-    def sweep(self, lives: Callable[[EndpointLife], bool]) -> None:
+    def sweep(self, is_running: Callable[[EndpointLife], bool]) -> None:
         """Close connections that were idle for too long or belong to an ended incarnation.
 
         Parameters
         ----------
-        lives
+        is_running
             Whether an incarnation is still running.
         """
         for target, idle in list(self._idle.items()):
-            is_running = lives(target.key)
-            fresh = [c for c in idle if is_running and c.usable and self._is_reusable(c)]
+            running = is_running(target.key)
+            fresh = [c for c in idle if running and c.usable and self._is_reusable(c)]
             for connection in idle:
                 if connection not in fresh:
                     self._discard(connection)
--- a/packages/gateway/src/tamarack_gateway/time_to_end.py
+++ b/packages/gateway/src/tamarack_gateway/duration_estimate.py
@@ -8,7 +8,7 @@
 from tamarack_gateway.fleet_state import FleetState
 
 
-class TimeToEnd:
+class DurationEstimate:
     """Predicts the duration of one request's sends from those of earlier requests.
 
     Parameters
--- a/packages/gateway/src/tamarack_gateway/end_witness.py
+++ b/packages/gateway/src/tamarack_gateway/end_witness.py
@@ -105,24 +105,24 @@
         return [lost for lost in self.lost if last_ms - lost.at_ms <= BURST_MS]
 
 
-class EndWitness:
+class TerminationDetector:
     """Detects for one router which endpoints have terminated.
 
     Parameters
     ----------
-    took
+    on_termination
         Called with each termination, and again with later findings about it.
     """
 
     def __init__(
-        self, state: FleetState, pool: ConnectionPool, *, took: Callable[[End], None]
+        self, state: FleetState, pool: ConnectionPool, *, on_termination: Callable[[End], None]
     ) -> None:
         self._state = state
         self._pool = pool
-        self._on_termination = took
+        self._on_termination = on_termination
         self._checks: dict[EndpointLife, _Check] = {}
         self._unconfirmed: dict[EndpointLife, _Check] = {}
-        state.on_life_over = self._incarnation_over
+        state.on_incarnation_ended = self._incarnation_over
 
     async def lost(self, endpoint: Endpoint, aboard: Aboard, sent_ms: float) -> bool:
         """Record that an answer broke off; returns whether its endpoint has terminated.
@@ -163,7 +163,7 @@
     async def _run_check(self, check: _Check) -> bool:
         await asyncio.sleep(CHECK_DELAY_MS / 1000)
         endpoint, loop = check.endpoint, asyncio.get_running_loop()
-        if self._pool.lives(endpoint) or not await self._has_terminated(check):
+        if self._pool.has_open_connection(endpoint) or not await self._has_terminated(check):
             self._checks.pop(endpoint.key, None)
             self._keep_unconfirmed(check)
             return False
--- a/packages/gateway/src/tamarack_gateway/engine_gate.py
+++ b/packages/gateway/src/tamarack_gateway/engine_admission.py
@@ -15,7 +15,7 @@
 from tamarack_gateway.site import RequestFacts
 
 
-class EngineGate:
+class EngineAdmission:
     """Decides whether one request is sent, queued at the router or rejected.
 
     Parameters
--- a/packages/gateway/src/tamarack_gateway/exchange.py
+++ b/packages/gateway/src/tamarack_gateway/exchange.py
@@ -12,28 +12,28 @@
 from tamarack_core.prompt import Prompt
 from tamarack_core.quarantine import Treatment
 from tamarack_core.ruleset import Route
+from tamarack_gateway.answer_timeouts import AnswerTimeouts
 from tamarack_gateway.caller_answer import CallerAnswer
 from tamarack_gateway.caller_connection import CallerConnection
 from tamarack_gateway.connection_pool import ConnectionPool
-from tamarack_gateway.containment import Containment
+from tamarack_gateway.duration_estimate import DurationEstimate
 from tamarack_gateway.endpoint_connection import (
     BrokenAnswerError,
     ConnectError,
     ConnectionLostError,
     EndpointConnection,
 )
-from tamarack_gateway.engine_gate import EngineGate
+from tamarack_gateway.engine_admission import EngineAdmission
 from tamarack_gateway.event_relay import EventRelay
 from tamarack_gateway.event_splitter import BadStreamError, EventSplitter
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.http_messages import AnswerHead, Request
 from tamarack_gateway.outbox import Outbox
-from tamarack_gateway.patience import Patience
-from tamarack_gateway.send_notes import UNREACHED_WEIGHT, SendNotes
+from tamarack_gateway.request_quarantine import RequestQuarantine
+from tamarack_gateway.send_recorder import UNREACHED_WEIGHT, SendRecorder
 from tamarack_gateway.send_result import Result, Verdict
 from tamarack_gateway.sending_connection import sending_connection
 from tamarack_gateway.site import RequestDialect, RequestFacts
-from tamarack_gateway.time_to_end import TimeToEnd
 
 DEADLINE_MARGIN_MS = 15.0
 """Subtracted from the deadline sent to an endpoint: its answer takes a few milliseconds to come
@@ -70,7 +70,7 @@
         facts: RequestFacts,
         route: Route,
         workspace: str | None,
-        containment: Containment,
+        request_quarantine: RequestQuarantine,
     ) -> None:
         self._state = state
         self._dialect = dialect
@@ -80,20 +80,22 @@
         self._facts = facts
         self._route = route
         self._workspace = workspace
-        self._containment = containment
+        self._request_quarantine = request_quarantine
         self._service = route.service_for(state.random.random())
-        self._notes = SendNotes(
+        self._recorder = SendRecorder(
             state, outbox, facts.attempt, self._service, workspace, self._prompt
         )
         self._answer = CallerAnswer(caller, dialect, facts.attempt)
-        self._gate = EngineGate(state, self._service, request, facts, route, workspace)
+        self._engine_admission = EngineAdmission(
+            state, self._service, request, facts, route, workspace
+        )
         self._splitter = EventSplitter(facts.last_event)
-        self._time_to_end = TimeToEnd(state, route, self._service, self._prompt)
+        self._duration_estimate = DurationEstimate(state, route, self._service, self._prompt)
         limit_ms = route.time_limit_ms
         if facts.wait_ms is not None:
             limit_ms = min(limit_ms, facts.wait_ms)
         self._deadline_ms = request.arrived_ms + limit_ms
-        self._timeouts = Patience(state, route, lambda: self._left_ms)
+        self._timeouts = AnswerTimeouts(state, route, lambda: self._left_ms)
         self._sends = 0
         self._may_have_run = False
         self._first_event_ms: float | None = None
@@ -131,14 +133,14 @@
         """Answer the request."""
         state = self._state
         state.allowance.note_request(self._service, state.clock.now_ms)
-        self._notes.asked()
+        self._recorder.asked()
         await self._attempts()
 
     async def _attempts(self) -> None:
         connect_failures = 0
         last = Result(Verdict.NOT_RUN, "no endpoint")
         while True:
-            standing = self._containment.look()
+            standing = self._request_quarantine.current_handling()
             if standing.treatment is Treatment.QUARANTINED:
                 return self._quarantine()
             if standing.treatment is Treatment.WAIT and self._left_ms >= MIN_TIME_LEFT_MS:
@@ -161,7 +163,9 @@
             except ConnectError as error:
                 connect_failures += 1
                 self._pool.drop(choice.endpoint)
-                self._notes.failure(choice.endpoint, f"connect: {error}", weight=UNREACHED_WEIGHT)
+                self._recorder.failure(
+                    choice.endpoint, f"connect: {error}", weight=UNREACHED_WEIGHT
+                )
                 self._tried.add(choice.endpoint.key)
                 if connect_failures >= MAX_CONNECT_FAILURES:
                     return self._give_up(last)
@@ -188,11 +192,11 @@
         fresh = [e for e in endpoints if e.key not in self._tried]
         if self._sends == 0 and not fresh:
             fresh = endpoints
-        fresh = list(self._containment.among(fresh))
+        fresh = list(self._request_quarantine.allowed_endpoints(fresh))
         if not fresh:
             return None
         if self._sends == 0 and self._prompt is not None:
-            return self._gate.place(fresh, self._prompt, self._left_ms)
+            return self._engine_admission.place(fresh, self._prompt, self._left_ms)
         choice = self._choose(fresh)
         return AdmittedPlacement(choice, NOT_LIMITED) if choice is not None else None
 
@@ -218,12 +222,12 @@
     def _may_finish(self, choice: Choice) -> bool:
         # Checked again after each wait, like the key. An answer that has begun is cut in any case
         # unless it is sent again, so that a further send is always allowed.
-        return self._caller.begun or self._time_to_end.fits(
+        return self._caller.begun or self._duration_estimate.fits(
             choice, self._left_ms, self._splitter.last
         )
 
     def _longest_ms(self, choice: Choice) -> float:
-        return self._time_to_end.longest_ms(choice, self._left_ms, self._splitter.last)
+        return self._duration_estimate.longest_ms(choice, self._left_ms, self._splitter.last)
 
     def _refuse_outlasting(self, choice: Choice, last: Result) -> None:
         state, plan = self._state, self._state.leaving
@@ -246,9 +250,9 @@
         endpoint = choice.endpoint
         self._sends += 1
         self._tried.add(endpoint.key)
-        self._notes.placed(placement, self._route, self._sends, self._left_ms)
-        self._notes.sent(choice)
-        self._containment.sent(endpoint)
+        self._recorder.placed(placement, self._route, self._sends, self._left_ms)
+        self._recorder.sent(choice)
+        self._request_quarantine.sent(endpoint)
         self._first_event_ms = None
         sent_ms = state.clock.now_ms
         whole = False
@@ -262,21 +266,21 @@
             lost = isinstance(error, ConnectionLostError)
             result = Result(Verdict.BROKEN, str(error), lost=lost)
         finally:
-            self._notes.ended()
-            self._containment.ended()
+            self._recorder.ended()
+            self._request_quarantine.ended()
             if whole:
                 self._pool.give_back(endpoint, connection)
             else:
                 # Closing cancels the request at the endpoint; its result would be unused.
                 connection.abort()
         took_ms = state.clock.now_ms - sent_ms
-        self._notes.result(endpoint, result, took_ms)
+        self._recorder.result(endpoint, result, took_ms)
         if result.verdict in (Verdict.DONE, Verdict.FAILED):
-            self._containment.answered()
+            self._request_quarantine.answered()
         if result.lost:
             begun_ms = self._first_event_ms
             running_ms = None if begun_ms is None else state.clock.now_ms - begun_ms
-            await self._containment.lost(endpoint, running_ms, sent_ms)
+            await self._request_quarantine.lost(endpoint, running_ms, sent_ms)
         if result.verdict is Verdict.DONE:
             state.log.request(
                 "answered",
@@ -318,7 +322,7 @@
         body = await connection.body()
         if head.length is not None and len(body) != head.length:
             raise BrokenAnswerError("the body is not whole")
-        self._time_to_end.answered(self._state.clock.now_ms - sent_ms)
+        self._duration_estimate.answered(self._state.clock.now_ms - sent_ms)
         self._caller.answer(head.status, self._dialect.for_caller(head), body)
         return Result(Verdict.DONE)
 
@@ -329,7 +333,7 @@
 
         def on_first_event() -> None:
             self._first_event_ms = clock.now_ms
-            self._notes.first_event(choice)
+            self._recorder.first_event(choice)
 
         relay = EventRelay(
             connection, self._caller, self._answer, head, self._splitter, clock, on_first_event
@@ -337,7 +341,7 @@
         await self._timeouts.whole(relay, choice, self._sends)
         relay.end()
         if relay.first_ms is not None:
-            self._time_to_end.streamed(clock.now_ms - relay.first_ms, resumed_after)
+            self._duration_estimate.streamed(clock.now_ms - relay.first_ms, resumed_after)
         return Result(Verdict.DONE)
 
     # after a send
@@ -363,7 +367,7 @@
         return allowed
 
     def _quarantine(self) -> None:
-        self._containment.refused(self._sends)
+        self._request_quarantine.refused(self._sends)
         if self._caller.begun:
             self._caller.cut()
         elif self._may_have_run:
--- a/packages/gateway/src/tamarack_gateway/fleet_state.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_state.py
@@ -66,7 +66,7 @@
     ----------
     owns
         Returns whether this router owns a key; each key is handled by one router of the fleet.
-    on_life_over
+    on_incarnation_ended
         Called with an incarnation of an endpoint that is no longer listed, and whether a new
         incarnation of the same name has replaced it.
     """
@@ -100,7 +100,7 @@
         self.quarantine = Quarantine(lambda fingerprint: self.owns(fingerprint), quarantine)
         self.quarantine_known = False
         self.owns: Callable[[str], bool] = _owns_nothing
-        self.on_life_over: Callable[[EndpointLife, bool], None] = _ignore
+        self.on_incarnation_ended: Callable[[EndpointLife, bool], None] = _ignore
         self._avoid_until_ms: dict[EndpointLife, float] = {}
         self._termination_ms: dict[EndpointLife, float] = {}
         self.leaving: LeavingPlan | None = None
@@ -173,7 +173,7 @@
         for name in [name for name in self.records if name not in listed]:
             over = EndpointLife(name, self._incarnations[name])
             del self.records[name], self.models[name], self._incarnations[name]
-            self.on_life_over(over, False)
+            self.on_incarnation_ended(over, False)
         self._resize_models()
 
     def knows(self, key: EndpointLife) -> bool:
@@ -283,7 +283,7 @@
         if name in self._incarnations:
             fields = {"life": endpoint.life, "life_before": self._incarnations[name]}
             self.log.change("endpoint restarted", endpoint=name, **fields)
-            self.on_life_over(EndpointLife(name, self._incarnations[name]), True)
+            self.on_incarnation_ended(EndpointLife(name, self._incarnations[name]), True)
         self._incarnations[name] = endpoint.life
         self.records[name] = EndpointRecord()
         first_token = self._first_tokens.setdefault(endpoint.service, FirstTokenTime())
@@ -306,4 +306,4 @@
 
 
 def _ignore(key: EndpointLife, replaced: bool) -> None:
-    """Default of `FleetState.on_life_over`: does nothing."""
+    """Default of `FleetState.on_incarnation_ended`: does nothing."""
--- a/packages/gateway/src/tamarack_gateway/gateway.py
+++ b/packages/gateway/src/tamarack_gateway/gateway.py
@@ -12,22 +12,22 @@
 from tamarack_core.relay_plan import Peer
 from tamarack_gateway.cache_inventory import CacheInventory
 from tamarack_gateway.caller_connection import CallerConnection
-from tamarack_gateway.caller_crowd import CallerCrowd
 from tamarack_gateway.caller_handler import CallerHandler
+from tamarack_gateway.connection_limiter import ConnectionLimiter
 from tamarack_gateway.connection_pool import ConnectionPool
 from tamarack_gateway.decision_log import DecisionLog
-from tamarack_gateway.end_witness import EndWitness
+from tamarack_gateway.end_witness import TerminationDetector
 from tamarack_gateway.fleet_feeds import FleetFeeds
 from tamarack_gateway.fleet_members import FleetMembers, Member
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.gateway_metrics import GatewayMetrics
 from tamarack_gateway.listeners import Listeners
-from tamarack_gateway.loop_watch import LoopWatch
+from tamarack_gateway.loop_monitor import LoopMonitor
 from tamarack_gateway.outbox import Outbox
-from tamarack_gateway.own_pages import OwnPages
 from tamarack_gateway.peer_group import PeerGroup
 from tamarack_gateway.peer_messages import Report, Summary
 from tamarack_gateway.quarantine_feed import QuarantineFeed
+from tamarack_gateway.router_pages import RouterPages
 from tamarack_gateway.site import Site
 from tamarack_gateway.table_follower import CopyWanted, TableNews
 
@@ -68,7 +68,7 @@
         self._outbox = Outbox()
         self._members = FleetMembers()
         self._connections: set[CallerConnection] = set()
-        self._watch = LoopWatch(
+        self._loop_monitor = LoopMonitor(
             clock,
             log,
             self._connections,
@@ -79,23 +79,25 @@
             self._state,
             self._pool,
             store_calls=lambda: self._feeds.calls,
-            loop=self._watch.status,
+            loop=self._loop_monitor.status,
         )
         self._state.owns = lambda matter: self._members.owns(matter, self._me, clock.now_ms)
         self._quarantine = self._make_quarantine()
         self._pages = self._make_pages()
-        self._witness = EndWitness(self._state, self._pool, took=self._quarantine.saw)
+        self._detector = TerminationDetector(
+            self._state, self._pool, on_termination=self._quarantine.saw
+        )
         self._handler = CallerHandler(
             self._state,
             site.requests,
             self._pool,
             self._outbox,
             self._metrics,
-            self._watch,
-            self._witness,
+            self._loop_monitor,
+            self._detector,
             self._quarantine,
         )
-        self._caller_limit = CallerCrowd(self._state, self._connections)
+        self._caller_limit = ConnectionLimiter(self._state, self._connections)
         self._listeners = Listeners(self._state, clock, self._connections, self._caller_limit)
         self._tasks: list[asyncio.Task[Any]] = []
         self._lines_queued = asyncio.Event()
@@ -112,7 +114,7 @@
     async def __aenter__(self) -> Gateway:
         settings = self._settings
         await self._stack.enter_async_context(self._peers)
-        self._stack.enter_context(self._watch)
+        self._stack.enter_context(self._loop_monitor)
         self._feeds.start(self._peers.address, self._boot)
         listen = self._listeners.listen
         self._callers = await listen(settings.callers, self._handler.answer)
@@ -139,7 +141,7 @@
         self._listeners.close()
         self._handler.ending = True
         await asyncio.gather(*(connection.stop() for connection in list(self._connections)))
-        await self._witness.close()
+        await self._detector.close()
         self._pool.close()
         await asyncio.sleep(0)
         await self._stack.aclose()
@@ -214,15 +216,15 @@
             write=lambda key, value: self._feeds.write_quarantine(key, value),
         )
 
-    def _make_pages(self) -> OwnPages:
-        return OwnPages(
+    def _make_pages(self) -> RouterPages:
+        return RouterPages(
             self._state,
             self._members,
             self._metrics,
             self._site.directory,
             me=lambda: self._me,
             relays=lambda: self._peers.relays,
-            loop=self._watch.status,
+            loop=self._loop_monitor.status,
             release=self._quarantine.release,
         )
 
@@ -275,7 +277,7 @@
             self._state.ready,
             self._clock.now_ms,
             self._state.fresh,
-            overloaded=self._watch.avoid or self._caller_limit.crowded,
+            overloaded=self._loop_monitor.avoid or self._caller_limit.near_limit,
         )
 
     def _follow(self, peers: dict[str, Peer]) -> None:
--- a/packages/gateway/src/tamarack_gateway/gateway_metrics.py
+++ b/packages/gateway/src/tamarack_gateway/gateway_metrics.py
@@ -9,7 +9,7 @@
 from tamarack_core.ruleset import Route
 from tamarack_gateway.connection_pool import ConnectionPool
 from tamarack_gateway.fleet_state import FleetState
-from tamarack_gateway.loop_watch import LoopStatus
+from tamarack_gateway.loop_monitor import LoopStatus
 from tamarack_gateway.router_status import workspace_statuses
 from tamarack_gateway.unreadable_rows import RowKind
 
--- a/packages/gateway/src/tamarack_gateway/listeners.py
+++ b/packages/gateway/src/tamarack_gateway/listeners.py
@@ -6,14 +6,14 @@
 import socket
 
 from tamarack_core.clock import Clock
-from tamarack_gateway.caller_connection import CallerConnection, Handler, TurnedAway
-from tamarack_gateway.caller_crowd import CallerCrowd
+from tamarack_gateway.caller_connection import CallerConnection, Handler, RejectedConnection
+from tamarack_gateway.connection_limiter import ConnectionLimiter
 from tamarack_gateway.fleet_state import FleetState
 
 BACKLOG = 1_024
 """Length of the accept queue; when it is full, callers lose seconds until they connect."""
 
-ACCEPTS = 96
+MAX_ACCEPTS_PER_ITERATION = 96
 """Connections accepted in one event-loop iteration. With more, each with a request, an iteration on
 a small instance would take so long that nothing else is read and no overload is detected; with
 fewer, the router would not keep up with the connections that arrive while the loop lags."""
@@ -26,7 +26,7 @@
     ----------
     connections
         The set to which each connection adds itself.
-    crowd
+    limiter
         Decides whether a new connection is accepted.
     """
 
@@ -35,12 +35,12 @@
         state: FleetState,
         clock: Clock,
         connections: set[CallerConnection],
-        crowd: CallerCrowd,
+        limiter: ConnectionLimiter,
     ) -> None:
         self._state = state
         self._clock = clock
         self._connections = connections
-        self._crowd = crowd
+        self._limiter = limiter
         self._servers: list[asyncio.Server] = []
 
     async def listen(self, address: str, handler: Handler) -> str:
@@ -48,10 +48,12 @@
         loop = asyncio.get_running_loop()
 
         def accept() -> asyncio.Protocol:
-            return self._connection(handler) if self._crowd.admit() else TurnedAway()
+            return self._connection(handler) if self._limiter.admit() else RejectedConnection()
 
         listener = _bind(address)
-        self._servers.append(await loop.create_server(accept, sock=listener, backlog=ACCEPTS))
+        self._servers.append(
+            await loop.create_server(accept, sock=listener, backlog=MAX_ACCEPTS_PER_ITERATION)
+        )
         host, port = listener.getsockname()[:2]
         return f"{host}:{port}"
 
@@ -67,7 +69,7 @@
             self._clock,
             lambda: state.bounds,
             self._connections,
-            lambda: self._crowd.crowded,
+            lambda: self._limiter.near_limit,
         )
         connection.closing = state.leaving is not None
         return connection
--- a/packages/gateway/src/tamarack_gateway/loop_watch.py
+++ b/packages/gateway/src/tamarack_gateway/loop_monitor.py
@@ -35,7 +35,7 @@
     requests: int
 
 
-class LoopWatch:
+class LoopMonitor:
     """Monitors the lag of the running event loop; use it as a context manager.
 
     Parameters
@@ -67,7 +67,7 @@
         self._running: Counter[str | None] = Counter()
         self._timer: asyncio.TimerHandle | None = None
 
-    def __enter__(self) -> LoopWatch:
+    def __enter__(self) -> LoopMonitor:
         self._schedule()
         return self
 
@@ -104,7 +104,7 @@
         return self._lag.sheds(self._clock.now_ms)
 
     @contextmanager
-    def taking(self, workspace: str | None) -> Iterator[None]:
+    def in_progress(self, workspace: str | None) -> Iterator[None]:
         """Count a request of a workspace as in progress within the context."""
         self._running[workspace] += 1
         try:
--- a/packages/gateway/src/tamarack_gateway/peer_group.py
+++ b/packages/gateway/src/tamarack_gateway/peer_group.py
@@ -14,7 +14,7 @@
 from tamarack_gateway.outbox import Outbox, Placements, PlacementSum
 from tamarack_gateway.peer_messages import Alive, Digest, Gathered, Report, Summary
 from tamarack_gateway.peer_sockets import PeerSockets
-from tamarack_gateway.summary_sieve import SummarySieve
+from tamarack_gateway.summary_filter import SummaryFilter
 from tamarack_gateway.table_follower import CopyWanted, TableNews
 
 SUMMARY_MS = 250.0
@@ -107,7 +107,7 @@
         self._remote_reports: list[Report] = []
         self._remote_work = PlacementSum()
         self._remote_alive: dict[str, float] = {}
-        self._summary_filter = SummarySieve()
+        self._summary_filter = SummaryFilter()
         self._urgent = False
         self._relay_task: asyncio.Task[None] | None = None
         self._last_relay_ms = float("-inf")
@@ -261,7 +261,7 @@
                 self._relay_collected(now_ms)
 
     def _relay_collected(self, now_ms: float) -> None:
-        own, alive = self._summary_filter.sift(self._reports, now_ms)
+        own, alive = self._summary_filter.filter(self._reports, now_ms)
         foreign, work = self._remote_reports, self._remote_work.take()
         all_alive = alive | self._remote_alive
         self._reports, self._remote_reports, self._remote_alive, self._urgent = [], [], {}, False
@@ -305,7 +305,7 @@
             self._relay_task.cancel()
             self._relay_task = None
         self._reports, self._remote_reports, self._remote_alive, self._urgent = [], [], {}, False
-        self._remote_work, self._summary_filter = PlacementSum(), SummarySieve()
+        self._remote_work, self._summary_filter = PlacementSum(), SummaryFilter()
         if relays:
             self._relay_task = asyncio.ensure_future(self._relay_loop())
 
--- a/packages/gateway/src/tamarack_gateway/containment.py
+++ b/packages/gateway/src/tamarack_gateway/request_quarantine.py
@@ -9,7 +9,7 @@
 from tamarack_core.endpoint_book import Endpoint, EndpointLife
 from tamarack_core.fingerprint import fingerprint
 from tamarack_core.quarantine import FREE, Standing, Treatment
-from tamarack_gateway.end_witness import EndWitness
+from tamarack_gateway.end_witness import TerminationDetector
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.http_messages import Request
 from tamarack_gateway.quarantine_feed import QuarantineFeed
@@ -20,7 +20,7 @@
 that crash engines do so 50 to 110 ms after they begin to run."""
 
 
-class Containment:
+class RequestQuarantine:
     """Connects one request to the quarantine.
 
     Parameters
@@ -32,7 +32,7 @@
     def __init__(
         self,
         state: FleetState,
-        witness: EndWitness,
+        detector: TerminationDetector,
         feed: QuarantineFeed,
         request: Request,
         facts: RequestFacts,
@@ -40,13 +40,13 @@
     ) -> None:
         self._state = state
         self._quarantine = state.quarantine
-        self._witness = witness
+        self._detector = detector
         self._feed = feed
         self._request = request
         self._host = facts.host
         self._attempt = facts.attempt
         self._workspace = workspace
-        self._standing = FREE
+        self._handling = FREE
         self._isolated_at: EndpointLife | None = None
 
     @cached_property
@@ -57,30 +57,30 @@
             self._workspace, self._host, request.method, request.target, request.body
         )
 
-    def look(self) -> Standing:
+    def current_handling(self) -> Standing:
         """Treatment of the request now; checked before each send and after each wait."""
-        if self._standing.treatment is Treatment.TRIAL:
+        if self._handling.treatment is Treatment.TRIAL:
             # A trial is granted rarely: it stays granted while the request waits for other reasons.
-            return self._standing
-        self._standing = FREE
+            return self._handling
+        self._handling = FREE
         if self._quarantine.watching:
             now_ms = self._state.clock.now_ms
-            self._standing = self._quarantine.look(self.fingerprint, self._workspace or "", now_ms)
-        return self._standing
+            self._handling = self._quarantine.look(self.fingerprint, self._workspace or "", now_ms)
+        return self._handling
 
-    def among(self, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
+    def allowed_endpoints(self, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
         """Those of `endpoints` that the request may be sent to; a suspect is confined to one."""
-        if self._standing.treatment not in (Treatment.APART, Treatment.TRIAL) or not endpoints:
+        if self._handling.treatment not in (Treatment.APART, Treatment.TRIAL) or not endpoints:
             return endpoints
         key = self._quarantine.place(self.fingerprint, [endpoint.key for endpoint in endpoints])
         return [endpoint for endpoint in endpoints if endpoint.key == key]
 
     def sent(self, endpoint: Endpoint) -> None:
         """Record that the request is sent to an endpoint."""
-        if self._standing.treatment in (Treatment.APART, Treatment.TRIAL):
+        if self._handling.treatment in (Treatment.APART, Treatment.TRIAL):
             self._isolated_at = endpoint.key
             self._quarantine.begun(self.fingerprint, endpoint.key)
-        self._standing = FREE
+        self._handling = FREE
 
     def ended(self) -> None:
         """Record the end of a send, whatever its result; called once for each `sent`."""
@@ -105,7 +105,7 @@
         """
         early = running_ms is None or running_ms < EARLY_MS
         aboard = Aboard(self.fingerprint, self._workspace or "", early)
-        ended = await self._witness.lost(endpoint, aboard, sent_ms)
+        ended = await self._detector.lost(endpoint, aboard, sent_ms)
         self._state.log.request(
             "connection lost",
             self._attempt,
--- a/packages/gateway/src/tamarack_gateway/own_pages.py
+++ b/packages/gateway/src/tamarack_gateway/router_pages.py
@@ -11,7 +11,7 @@
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.gateway_metrics import GatewayMetrics
 from tamarack_gateway.http_messages import Request
-from tamarack_gateway.loop_watch import LoopStatus
+from tamarack_gateway.loop_monitor import LoopStatus
 from tamarack_gateway.quarantine_status import quarantine_status
 from tamarack_gateway.router_status import router_status
 from tamarack_gateway.site import DirectoryDialect
@@ -20,7 +20,7 @@
 RELEASE = b"/quarantine/release/"
 
 
-class OwnPages:
+class RouterPages:
     """Answers the platform's readiness checks, callers' address queries, and operators.
 
     Parameters
--- a/packages/gateway/src/tamarack_gateway/router_status.py
+++ b/packages/gateway/src/tamarack_gateway/router_status.py
@@ -6,7 +6,7 @@
 
 from tamarack_gateway.fleet_members import FleetMembers
 from tamarack_gateway.fleet_state import FleetState
-from tamarack_gateway.loop_watch import LoopStatus
+from tamarack_gateway.loop_monitor import LoopStatus
 from tamarack_gateway.unreadable_rows import RowKind
 
 LARGEST_WORKSPACES = 20
--- a/packages/gateway/src/tamarack_gateway/send_notes.py
+++ b/packages/gateway/src/tamarack_gateway/send_recorder.py
@@ -23,7 +23,7 @@
 """Statuses that concern the request or its deadline, and do not count as endpoint failures."""
 
 
-class SendNotes:
+class SendRecorder:
     """Records one request's sends in the engine models and endpoint records.
 
     A send updates the model and record of the incarnation it was sent to, even if the endpoint has
--- a/packages/gateway/src/tamarack_gateway/summary_sieve.py
+++ b/packages/gateway/src/tamarack_gateway/summary_filter.py
@@ -10,13 +10,13 @@
 fleet: 186 a second with 195 idle routers."""
 
 
-class SummarySieve:
+class SummaryFilter:
     """Filters summaries by what was last passed on of each router."""
 
     def __init__(self) -> None:
         self._last_sent: dict[str, tuple[Summary, float]] = {}
 
-    def sift(self, reports: list[Report], now_ms: float) -> tuple[list[Report], dict[str, float]]:
+    def filter(self, reports: list[Report], now_ms: float) -> tuple[list[Report], dict[str, float]]:
         """Remove unchanged summaries.
 
         Returns the reports with remaining content, and the timestamps of the routers whose
--- a/tests/test_callers_who_left.py
+++ b/tests/test_callers_who_left.py
@@ -16,8 +16,8 @@
 from tamarack_core.loop_lag import LATE_MS, LATE_SAMPLES
 from tamarack_gateway.fleet_members import FleetMembers, Member
 from tamarack_gateway.gateway import Gateway
-from tamarack_gateway.listeners import ACCEPTS, BACKLOG
-from tamarack_gateway.send_notes import SendNotes
+from tamarack_gateway.listeners import BACKLOG, MAX_ACCEPTS_PER_ITERATION
+from tamarack_gateway.send_recorder import SendRecorder
 from tamarack_standins.platform_worker import PlatformWorker, Script
 
 STREAM = Script(events=2)
@@ -125,14 +125,14 @@
                 worker.arrived.clear()
                 worker._scripts = [Script(status=500)]
             caller = await connect_socket(fleet.gateway)
-            failure = SendNotes.failure
+            failure = SendRecorder.failure
 
-            def close_and_fail(notes: SendNotes, *facts: Any, **more: Any) -> None:
+            def close_and_fail(recorder: SendRecorder, *facts: Any, **more: Any) -> None:
                 caller.close()
                 time.sleep(DELIVERED_S)
-                failure(notes, *facts, **more)
+                failure(recorder, *facts, **more)
 
-            monkeypatch.setattr(SendNotes, "failure", close_and_fail)
+            monkeypatch.setattr(SendRecorder, "failure", close_and_fail)
             caller.sendall(fleet.request("/search/1"))
             await until_all_closed(fleet.gateway)
             await asyncio.sleep(DELIVERED_S)
@@ -169,10 +169,10 @@
     monkeypatch.setattr(loop_lag, "CALM_SAMPLES", 1_000_000)
     monkeypatch.setattr(loop_lag, "TAKE_MS", 0.0)
     for _ in range(LATE_SAMPLES):
-        assert router._watch._timer is not None
-        router._watch._timer.cancel()
-        router._watch._sample(router.state.clock.now_ms - 10 * LATE_MS)
-    assert router._watch.overloaded
+        assert router._loop_monitor._timer is not None
+        router._loop_monitor._timer.cancel()
+        router._loop_monitor._sample(router.state.clock.now_ms - 10 * LATE_MS)
+    assert router._loop_monitor.overloaded
 
 
 async def listed_addresses(router: Gateway) -> list[str]:
@@ -281,14 +281,14 @@
     async def run() -> None:
         async with Fleet({"web": [PlatformWorker("w1")]}) as fleet:
             host, _, port = fleet.gateway.callers.rpartition(":")
-            waiting = 3 * ACCEPTS
+            waiting = 3 * MAX_ACCEPTS_PER_ITERATION
             callers = [socket.create_connection((host, int(port))) for _ in range(waiting)]
             counts = [0]
             async with asyncio.timeout(5):
                 while counts[-1] < waiting:
                     await asyncio.sleep(0)
                     counts.append(len(fleet.gateway._connections))
-            assert max(b - a for a, b in itertools.pairwise(counts)) <= ACCEPTS
+            assert max(b - a for a, b in itertools.pairwise(counts)) <= MAX_ACCEPTS_PER_ITERATION
             for caller in callers:
                 caller.close()
 
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -22,7 +22,7 @@
     ConcurrencyLimit,
 )
 from tamarack_core.loop_lag import SAMPLE_MS
-from tamarack_gateway.listeners import ACCEPTS
+from tamarack_gateway.listeners import MAX_ACCEPTS_PER_ITERATION
 from tamarack_standins.platform_worker import PlatformWorker, Script
 
 
@@ -97,7 +97,7 @@
             queue.append(next_ms)
             next_ms += 1_000 / ASKED_PER_S
         took_ms = events * EVENT_MS
-        for _ in range(min(ACCEPTS, len(queue))):
+        for _ in range(min(MAX_ACCEPTS_PER_ITERATION, len(queue))):
             read.append(now_ms - queue.popleft())
             taken = limit is None or len(streams) < limit.most
             took_ms += PLACING_MS if taken else REFUSING_MS
@@ -185,16 +185,16 @@
             await fleet.store.put("op", "config", configuration(2, tenants=keys))
             router = fleet.gateway
             await until(lambda: router.state.rules is not None and router.state.rules.version == 2)
-            monkeypatch.setattr(router._watch._limit, "_most", 2.0)
+            monkeypatch.setattr(router._loop_monitor._limit, "_most", 2.0)
 
             def ask(name: str, path: str) -> asyncio.Future[Answer]:
                 return asyncio.ensure_future(fleet.ask(path, Authorization=f"Token key-{name}"))
 
             taken = [ask("large", "/draft/1"), ask("large", "/draft/2")]
-            await until(lambda: router._watch.running == 2)
+            await until(lambda: router._loop_monitor.running == 2)
             assert (await ask("large", "/draft/3")).status == 503
             taken.append(ask("small", "/draft/4"))
-            await until(lambda: router._watch.running == 3)
+            await until(lambda: router._loop_monitor.running == 3)
             assert (await ask("small", "/draft/5")).status == 503
             engine.answering.set()
             assert [(await answer).status for answer in taken] == [200, 200, 200]
@@ -210,9 +210,9 @@
         engine.answering.clear()
         async with Fleet({"pool": [engine]}) as fleet:
             router = fleet.gateway
-            monkeypatch.setattr(router._watch._limit, "_most", 2.0)
+            monkeypatch.setattr(router._loop_monitor._limit, "_most", 2.0)
             taken = [asyncio.ensure_future(fleet.ask("/draft/x", body=n)) for n in (b"1", b"2")]
-            await until(lambda: router._watch.running == 2)
+            await until(lambda: router._loop_monitor.running == 2)
             reader, writer = await connect(router.callers)
             for number in range(3):
                 writer.write(fleet.request(f"/draft/{number}"))
@@ -222,7 +222,7 @@
                 assert "connection" not in answer.headers
             engine.answering.set()
             assert [(await answer).status for answer in taken] == [200, 200]
-            await until(lambda: router._watch.running == 0)
+            await until(lambda: router._loop_monitor.running == 0)
             assert len(engine.arrived) == 2
             writer.write(fleet.request("/draft/4"))
             assert (await read_answer(reader)).status == 200
--- a/tests/test_end_witness.py
+++ b/tests/test_end_witness.py
@@ -140,12 +140,12 @@
     async def run() -> None:
         engines = [PlatformWorker(f"e{n}", Script(reset=True), STREAM) for n in (1, 2)]
         async with Fleet({"pool": engines}) as fleet:
-            witness = fleet.gateway._witness
+            detector = fleet.gateway._detector
             await fleet.ask("/rewrite/x", body=b"breaks off")
-            (check,) = witness._unconfirmed.values()
+            (check,) = detector._unconfirmed.values()
             check.lost = [one._replace(at_ms=one.at_ms - UNCONFIRMED_MS) for one in check.lost]
-            witness._keep_unconfirmed(check)
-            assert witness._unconfirmed == {}
+            detector._keep_unconfirmed(check)
+            assert detector._unconfirmed == {}
             for number in range(2):
                 assert (await fleet.ask("/rewrite/x", body=b"%d" % number)).status != 500
 
--- a/tests/test_foreign_rows_fuzz.py
+++ b/tests/test_foreign_rows_fuzz.py
@@ -27,7 +27,7 @@
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.gateway_metrics import GatewayMetrics
 from tamarack_gateway.http_messages import Request
-from tamarack_gateway.loop_watch import LoopWatch
+from tamarack_gateway.loop_monitor import LoopMonitor
 from tamarack_gateway.peer_messages import Report
 from tamarack_gateway.quarantine_feed import QuarantineFeed
 from tamarack_gateway.site import FleetBounds, GatewaySettings, Row
@@ -378,8 +378,8 @@
                 assert endpoint is not None
                 check_endpoint(endpoint)
                 assert name in state.models
-        watch = LoopWatch(feeds.clock, state.log, [], changed=lambda: None)
+        monitor = LoopMonitor(feeds.clock, state.log, [], changed=lambda: None)
         pool = ConnectionPool(feeds.clock)
-        GatewayMetrics(state, pool, store_calls=lambda: 0, loop=watch.status).render()
+        GatewayMetrics(state, pool, store_calls=lambda: 0, loop=monitor.status).render()
 
     asyncio.run(scenario())
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -244,9 +244,9 @@
     """
 
     async def run() -> None:
-        from tamarack_gateway import patience
+        from tamarack_gateway import answer_timeouts
 
-        monkeypatch.setattr(patience, "FIRST_EVENT_SLACK_MS", 100.0)
+        monkeypatch.setattr(answer_timeouts, "FIRST_EVENT_SLACK_MS", 100.0)
         engines = [PlatformWorker(name) for name in ("e1", "e2")]
         engines[0]._scripts = engines[1]._scripts = [Script(silent=True), STREAM]
         async with Fleet({"pool": engines}) as fleet:
--- a/tests/test_peer_group.py
+++ b/tests/test_peer_group.py
@@ -13,7 +13,7 @@
 from tamarack_gateway.outbox import Outbox, Placements
 from tamarack_gateway.peer_group import PeerGroup
 from tamarack_gateway.peer_messages import Report, Summary
-from tamarack_gateway.summary_sieve import TOLD_AGAIN_MS, SummarySieve
+from tamarack_gateway.summary_filter import TOLD_AGAIN_MS, SummaryFilter
 
 DOMAINS = ("a", "b", "c")
 SIZE = SMALL_FLEET + 3
@@ -146,13 +146,13 @@
 
 
 def test_a_changed_summary_is_passed_on_at_once_and_an_unchanged_one_periodically() -> None:
-    summary_filter = SummarySieve()
+    summary_filter = SummaryFilter()
     unchanged = Summary("r", 1, "a", "c", True, True)
     reports = [Report("r", 5.0, unchanged)]
-    assert summary_filter.sift(reports, 0.0) == (reports, {})
-    assert summary_filter.sift(reports, 100.0) == ([], {"r": 5.0})
+    assert summary_filter.filter(reports, 0.0) == (reports, {})
+    assert summary_filter.filter(reports, 100.0) == ([], {"r": 5.0})
     changed = [Report("r", 9.0, unchanged._replace(ready=False))]
-    assert summary_filter.sift(changed, 200.0) == (changed, {})
-    assert summary_filter.sift(changed, 200.0 + TOLD_AGAIN_MS) == (changed, {})
+    assert summary_filter.filter(changed, 200.0) == (changed, {})
+    assert summary_filter.filter(changed, 200.0 + TOLD_AGAIN_MS) == (changed, {})
     placed = Report("r", 9.0, changed[0].summary, Placements([], {}))
-    assert summary_filter.sift([placed], 2_300.0) == ([placed._replace(summary=None)], {"r": 9.0})
+    assert summary_filter.filter([placed], 2_300.0) == ([placed._replace(summary=None)], {"r": 9.0})
--- a/tests/test_service_shares.py
+++ b/tests/test_service_shares.py
@@ -21,7 +21,7 @@
     Service,
     ServiceShare,
 )
-from tamarack_gateway.engine_gate import EngineGate
+from tamarack_gateway.engine_admission import EngineAdmission
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.http_messages import Request
 from tamarack_gateway.outbox import Outbox, Placements, PlacementSum, Tokens
@@ -50,8 +50,8 @@
     route = Route("/", "h", "/", RequestKind.STREAM, share, 4_000.0, 800.0, 2, False, True)
     facts = RequestFacts("attempt", "h", "/", None, "key", PROMPT, None)
     request = Request(b"POST", b"/", [], b"", state.clock.now_ms)
-    gate = EngineGate(state, service, request, facts, route, workspace)
-    placement = gate.place(state.usable(service), PROMPT, 4_000.0)
+    admission = EngineAdmission(state, service, request, facts, route, workspace)
+    placement = admission.place(state.usable(service), PROMPT, 4_000.0)
     assert placement is not None
     return placement.decision.verdict
 
