--- a/packages/gateway/src/tamarack_gateway/cache_inventory.py
+++ b/packages/gateway/src/tamarack_gateway/cache_inventory.py
@@ -37,7 +37,7 @@
     ----------
     settles
         Returns whether to wait for summaries of other routers first, as in a large fleet.
-    asks
+    queries
         Returns whether this router queries an endpoint; in a large fleet, one router queries it
         and publishes the answer.
     """
@@ -50,14 +50,14 @@
         outbox: Outbox,
         *,
         settles: Callable[[], bool],
-        asks: Callable[[str], bool],
+        queries: Callable[[str], bool],
     ) -> None:
         self._state = state
         self._dialect = dialect
         self._pool = pool
         self._outbox = outbox
         self._settles = settles
-        self._asks = asks
+        self._queries = queries
         self._done = False
 
     @property
@@ -71,7 +71,7 @@
             await asyncio.sleep(CHECK_INTERVAL_MS / 1000)
         if self._settles():
             await asyncio.sleep(SETTLE_MS / 1000)
-        engines = [engine for engine in self._state.engines() if self._asks(engine.name)]
+        engines = [engine for engine in self._state.engines() if self._queries(engine.name)]
         counts = await asyncio.gather(*(self._query(engine) for engine in engines))
         self._state.log.event("engine caches queried", engines=len(engines), parts=sum(counts))
         self._done = True
--- a/packages/gateway/src/tamarack_gateway/caller_handler.py
+++ b/packages/gateway/src/tamarack_gateway/caller_handler.py
@@ -86,7 +86,7 @@
             # The TTL of every answer with this address has expired; only running requests remain.
             self._refuse(caller, facts.attempt, "leaving", ELSEWHERE_MS)
             return
-        if rules is None or not state.informed:
+        if rules is None or not state.initialized:
             self._refuse(caller, facts.attempt, "no configuration is known yet", 300.0)
             return
         route = rules.route_for(facts.host, facts.path)
--- a/packages/gateway/src/tamarack_gateway/fleet_feeds.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_feeds.py
@@ -303,7 +303,7 @@
             for row in rows.values():
                 self._apply_endpoint_row(row, now_ms, change.lapsed_until_ms)
         if change.rows or change.whole:
-            state.settle_endpoints()
+            state.sync_endpoints()
             for name in state.book.lifeless:
                 state.unreadable.note(
                     RowKind.ENDPOINT, name, 0, "has no incarnation, unlike other entries"
@@ -325,7 +325,7 @@
 
     def _expire(self) -> None:
         expired = self._state.book.expire(self._state.clock.now_ms)
-        self._state.settle_endpoints()
+        self._state.sync_endpoints()
         if expired:
             self._state.log.change("missing endpoints expired", endpoints=expired)
         self._schedule_expiry()
--- a/packages/gateway/src/tamarack_gateway/fleet_members.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_members.py
@@ -68,7 +68,7 @@
                 newest_ms = max(stamp_ms, known.stamp_ms)
                 self._members[router] = known._replace(heard_ms=now_ms, stamp_ms=newest_ms)
 
-    def heard(self, member: Member) -> bool:
+    def record_summary(self, member: Member) -> bool:
         """Record a summary; returns False if it is of an earlier incarnation."""
         known = self._members.get(member.router)
         if known is not None and known.boot > member.boot:
@@ -91,7 +91,7 @@
         """Ready routers with a recent summary."""
         return [member for member in self._recent(now_ms).values() if member.ready]
 
-    def turned(self, now_ms: float) -> tuple[list[str], list[str]]:
+    def poll_changes(self, now_ms: float) -> tuple[list[str], list[str]]:
         """Routers that were lost and that were regained since the last call."""
         heard = set(self._recent(now_ms))
         lost, regained = sorted(self._recently_heard - heard), sorted(heard - self._recently_heard)
@@ -106,7 +106,7 @@
         """The newest timestamp of each router, by its own clock."""
         return {name: member.stamp_ms for name, member in self._members.items()}
 
-    def asks(self, endpoint: str, me: Member, now_ms: float) -> bool:
+    def queries(self, endpoint: str, me: Member, now_ms: float) -> bool:
         """Whether this router queries an endpoint; in a large fleet, one router does for all."""
         recent = {*self._recent(now_ms), me.router}
         return len(recent) <= SMALL_FLEET or winner(endpoint, recent) == me.router
@@ -115,7 +115,7 @@
         """Whether this router owns a key, by rendezvous hashing."""
         return winner(key, {*self._recent(now_ms), me.router}) == me.router
 
-    def gives(self, key: str, me: Member, now_ms: float) -> bool:
+    def sends_copy(self, key: str, me: Member, now_ms: float) -> bool:
         """Whether this router answers a request for a whole table; only fresh, ready routers do.
 
         In a small fleet, rendezvous hashing chooses one of them. In a large fleet, any of them may
--- a/packages/gateway/src/tamarack_gateway/fleet_state.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_state.py
@@ -30,7 +30,7 @@
 it even if one is lost, also where another router makes them and passes the result on. Above it,
 keys could expire before a caller is served."""
 
-KEPT_PART = 0.85
+RETAINED_FRACTION = 0.85
 """Longest time for which a missing entry is retained, as a fraction of the time for which a leaving
 endpoint may get new work: 1.7 s of 2. The rest is for the change and the work to be delivered."""
 
@@ -86,7 +86,7 @@
         self.log = log
         self.random = random.Random(seed)
         self.rules: Ruleset | None = None
-        self.book = EndpointBook(kept_ms=bounds.drain_ms * KEPT_PART)
+        self.book = EndpointBook(kept_ms=bounds.drain_ms * RETAINED_FRACTION)
         self.endpoints_known = False
         self.models: dict[str, EngineModel] = {}
         self.records: dict[str, EndpointRecord] = {}
@@ -113,10 +113,10 @@
     @property
     def ready(self) -> bool:
         """Whether callers should be sent here."""
-        return self.informed and self.leaving is None
+        return self.initialized and self.leaving is None
 
     @property
-    def informed(self) -> bool:
+    def initialized(self) -> bool:
         """Whether everything that decisions about requests depend on has been read.
 
         A router that accepted callers before it has read the quarantined requests would forward
@@ -164,7 +164,7 @@
         if self.rules is not None and keys is not None:
             self.rules = self.rules.with_keys(keys)
 
-    def settle_endpoints(self) -> None:
+    def sync_endpoints(self) -> None:
         """Keep models and records for exactly the current incarnations of the listed endpoints."""
         listed = {name: self.book.find(name) for name in self.book.names}
         for endpoint in listed.values():
@@ -188,7 +188,7 @@
         """
         return self.models.get(key.name) if self.knows(key) else None
 
-    def take_placements(self, placements: Placements) -> None:
+    def apply_placements(self, placements: Placements) -> None:
         """Apply what other routers placed, and what they observed in first events."""
         now_ms = self.clock.now_ms
         incarnations, models = self._incarnations, self.models
@@ -234,7 +234,7 @@
         until_ms = self._avoid_until_ms
         return [e for e in endpoints if until_ms.get(e.key, 0.0) <= now_ms]
 
-    def put_ended(self, key: EndpointLife, *, refused: bool) -> None:
+    def record_termination(self, key: EndpointLife, *, refused: bool) -> None:
         """Record that an incarnation of an endpoint has terminated; it may still be listed.
 
         Parameters
@@ -251,7 +251,7 @@
         ends = {k: at for k, at in self._termination_ms.items() if now_ms - at < TERMINATED_MS}
         self._termination_ms = {key: now_ms, **ends}
 
-    def ended_ms(self, key: EndpointLife) -> float | None:
+    def termination_ms(self, key: EndpointLife) -> float | None:
         """When this router first learned of a termination; None if it has not recently."""
         return self._termination_ms.get(key)
 
--- a/packages/gateway/src/tamarack_gateway/gateway.py
+++ b/packages/gateway/src/tamarack_gateway/gateway.py
@@ -239,7 +239,7 @@
             summary=self._summary,
             others=lambda: self._members.heard_within(5_000.0, self._clock.now_ms),
             took=self._on_report,
-            took_work=self._state.take_placements,
+            took_work=self._state.apply_placements,
             took_alive=lambda stamps: self._members.alive(stamps, self._clock.now_ms),
         )
 
@@ -261,7 +261,7 @@
             self._pool,
             self._outbox,
             settles=lambda: self._peers.large,
-            asks=lambda name: self._members.asks(name, self._me, self._clock.now_ms),
+            queries=lambda name: self._members.queries(name, self._me, self._clock.now_ms),
         )
 
     # peers
@@ -301,7 +301,7 @@
             self._on_summary(report.summary, report.stamp_ms)
         self._members.stamped(report.router, report.stamp_ms)
         if report.placements is not None:
-            self._state.take_placements(report.placements)
+            self._state.apply_placements(report.placements)
         if report.news is not None:
             stamp_ms = report.news.stamps.get(self._settings.router, float("-inf"))
             self._feeds.hear(report.news, stamp_ms)
@@ -311,7 +311,7 @@
             self._quarantine.hear(report.evidence)
 
     def _send_copy(self, wanted: CopyWanted) -> None:
-        if self._members.gives(f"{wanted.table}/{wanted.tries}", self._me, self._clock.now_ms):
+        if self._members.sends_copy(f"{wanted.table}/{wanted.tries}", self._me, self._clock.now_ms):
             news = self._feeds.copy(wanted)
             if news is not None:
                 self._publish_news(news)
@@ -329,7 +329,7 @@
             stamp_ms,
             summary.overloaded,
         )
-        self._members.heard(member)
+        self._members.record_summary(member)
 
     def _summary(self) -> Summary:
         me = self._me
@@ -352,7 +352,7 @@
             for connection in list(self._connections):
                 connection.close_if_idle(now_ms)
             self._pool.sweep(self._state.knows)
-            lost, regained = self._members.turned(now_ms)
+            lost, regained = self._members.poll_changes(now_ms)
             if lost or regained:
                 self._log.event("peers changed", lost=lost, regained=regained)
 
--- a/packages/gateway/src/tamarack_gateway/quarantine_feed.py
+++ b/packages/gateway/src/tamarack_gateway/quarantine_feed.py
@@ -210,7 +210,7 @@
 
     def _record_end(self, end: End) -> None:
         self._quarantine.ended(end, self._state.clock.now_ms)
-        self._state.put_ended(end.key, refused=end.refused)
+        self._state.record_termination(end.key, refused=end.refused)
         self._pending_event.set()
 
     def _apply_row(self, row: Row, now_ms: float) -> None:
--- a/tests/test_callers_who_left.py
+++ b/tests/test_callers_who_left.py
@@ -234,10 +234,12 @@
     """
     members = FleetMembers()
     for number in range(5):
-        members.heard(Member(f"r{number}", 1, "a", f"c{number}", True, 0.0, overloaded=number > 1))
+        members.record_summary(
+            Member(f"r{number}", 1, "a", f"c{number}", True, 0.0, overloaded=number > 1)
+        )
     me = Member("me", 1, "a", "c-me", True, 0.0, overloaded=True)
     assert len(members.addresses(me, "a", 0.0)) == 6
-    members.heard(Member("r2", 1, "a", "c2", True, 0.0))
+    members.record_summary(Member("r2", 1, "a", "c2", True, 0.0))
     assert sorted(members.addresses(me, "a", 0.0)) == ["c0", "c1", "c2"]
 
 
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -142,7 +142,7 @@
             def is_applied(life: int | None) -> bool:
                 placed = Placed("e1", 400.0, [PART], life)
                 seen = Seen("e1", 800.0, 4.0, life)
-                fleet.gateway.state.take_placements(Placements([placed], {}, [seen]))
+                fleet.gateway.state.apply_placements(Placements([placed], {}, [seen]))
                 model, now_ms = state.models["e1"], state.clock.now_ms
                 return model.keeps(PART) or model.wait_ms(now_ms) > 0 or model.pace(now_ms) > 1
 
--- a/tests/test_service_shares.py
+++ b/tests/test_service_shares.py
@@ -40,7 +40,7 @@
         for number in range(count):
             name = f"{service}-{number}"
             state.book.put(Endpoint(name, service, ADDRESS, "a", 16, False), clock.now_ms)
-    state.settle_endpoints()
+    state.sync_endpoints()
     return state
 
 
@@ -65,7 +65,7 @@
     clock = HeldClock(10_000.0)
     state = make_state(clock, busy=2, idle=2)
     flood, other = Tokens("flood", 20_000_000, 4_000_000), Tokens("other", 9_000_000, 1_000_000)
-    state.take_placements(placements_of(busy=[flood, other]))
+    state.apply_placements(placements_of(busy=[flood, other]))
     for name in ("busy-0", "busy-1"):
         state.models[name].sent_elsewhere(30.0, clock.now_ms)
     assert verdict(state, "busy", "flood") is Admission.REFUSED
@@ -79,8 +79,8 @@
     clock = HeldClock(10_000.0)
     state = make_state(clock, **({"pool": 1} if known else {}))
     for number in range(1_000):
-        state.take_placements(placements_of(**{f"s{number}": [Tokens("w", 10, 10)]}))
-    state.take_placements(placements_of(pool=[Tokens("w", 10, 0)]))
+        state.apply_placements(placements_of(**{f"s{number}": [Tokens("w", 10, 10)]}))
+    state.apply_placements(placements_of(pool=[Tokens("w", 10, 0)]))
     assert len(state.shares._shares) == int(known)
     state.put_rules(Ruleset(2, [], [], {}))
     assert not state.shares._shares
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -11,7 +11,7 @@
 from tamarack_core.clock import HeldClock
 from tamarack_core.relay_plan import SMALL_FLEET
 from tamarack_gateway.fleet_members import READERS, FleetMembers, Member
-from tamarack_gateway.fleet_state import KEPT_PART
+from tamarack_gateway.fleet_state import RETAINED_FRACTION
 from tamarack_gateway.site import Row, RowsPage
 from tamarack_gateway.store_client import StoreError
 from tamarack_gateway.table_follower import (
@@ -161,7 +161,7 @@
             members = FleetMembers()
             for other in everyone:
                 if other is not me:
-                    members.heard(other)
+                    members.record_summary(other)
             if members.reads("op", me, 100.0):
                 readers.append(me)
         if count <= SMALL_FLEET:
@@ -179,10 +179,10 @@
     """
     members = FleetMembers()
     first, second, me = members_of(3)
-    members.heard(first)
-    members.heard(second._replace(fresh=False))
+    members.record_summary(first)
+    members.record_summary(second._replace(fresh=False))
     assert set(members.addresses(me, "domain-1", 100.0)) == {"c0", "c2"}
-    members.heard(first._replace(fresh=False))
+    members.record_summary(first._replace(fresh=False))
     assert len(members.addresses(me._replace(fresh=False), "domain-1", 100.0)) == 3
 
 
@@ -213,12 +213,12 @@
     members = FleetMembers()
     everyone = members_of(66)
     for number, member in enumerate(everyone[1:], 1):
-        members.heard(member._replace(fresh=number % 8 == 0))
+        members.record_summary(member._replace(fresh=number % 8 == 0))
     found = members.addresses(everyone[0], "domain-0", 100.0)
     near = [m for m in everyone if m.failure_domain == "domain-0"]
     assert len(found) >= len(near)
     for number, member in enumerate(everyone[1:], 1):
-        members.heard(member._replace(fresh=number % 4 != 0 or number < 12))
+        members.record_summary(member._replace(fresh=number % 4 != 0 or number < 12))
     found = members.addresses(everyone[0], "domain-0", 100.0)
     assert len(found) >= len(near) // 2
     stale = {m.callers for n, m in enumerate(everyone[1:], 1) if n % 4 == 0 and n >= 12}
@@ -333,10 +333,10 @@
         return Member("r", boot, "d", "127.0.0.1:1", True, heard_ms)
 
     members = FleetMembers()
-    members.heard(summary(2_000, 0.0))
-    assert not members.heard(summary(1_000, 100.0))
+    members.record_summary(summary(2_000, 0.0))
+    assert not members.record_summary(summary(1_000, 100.0))
     for at_ms in range(250, 6_000, 250):
-        members.heard(summary(1_000, float(at_ms)))
+        members.record_summary(summary(1_000, float(at_ms)))
     assert [member.boot for member in members.live(6_000.0)] == [1_000]
 
 
@@ -349,6 +349,8 @@
     async def scenario() -> None:
         workers = {"pool": [PlatformWorker("e1", Script(events=1))]}
         async with Fleet(workers, drain_ms=drain_ms) as fleet:
-            assert fleet.gateway._feeds._followers["servers"]._wait_ms < KEPT_PART * drain_ms
+            assert (
+                fleet.gateway._feeds._followers["servers"]._wait_ms < RETAINED_FRACTION * drain_ms
+            )
 
     play(scenario())
