--- a/packages/gateway/src/tamarack_gateway/fleet_feeds.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_feeds.py
@@ -76,11 +76,11 @@
         Called with all listed routers when the list changes.
     reads
         Returns whether this router reads a table from the store itself.
-    told
+    publish
         Called with changes read from the store, to be published to the other routers.
     wanted
         Called when another router should send a whole table.
-    took_quarantine
+    on_quarantine_change
         Called with changes of the table of quarantined requests.
     """
 
@@ -91,16 +91,16 @@
         *,
         follow: Callable[[dict[str, Peer]], None],
         reads: Callable[[str], bool],
-        told: Callable[[TableNews], None],
+        publish: Callable[[TableNews], None],
         wanted: Callable[[CopyWanted], None],
-        took_quarantine: Callable[[TableChange], None],
+        on_quarantine_change: Callable[[TableChange], None],
     ) -> None:
         self._site = site
-        self._took_quarantine = took_quarantine
+        self._on_quarantine_change = on_quarantine_change
         self._state = state
         self._follow = follow
         self._reads = reads
-        self._publish = told
+        self._publish = publish
         self._request_copy = wanted
         self._routers: dict[str, Peer] = {}
         self._own_row = b""
@@ -118,7 +118,7 @@
         """Start to follow all tables, and add this router to the list of routers."""
         tables = self._site.tables
         rules_wait_ms = self._state.settings.bounds.revoke_ms * RULES_WAIT_FRACTION
-        for table, wait_ms, pause_ms, took in (
+        for table, wait_ms, pause_ms, on_change in (
             (tables.configuration, rules_wait_ms, RULES_PAUSE_MS, self._apply_rules),
             (tables.endpoints, ENDPOINTS_WAIT_MS, ENDPOINTS_PAUSE_MS, self._apply_endpoints),
             (tables.routers, ROUTERS_WAIT_MS, ROUTERS_PAUSE_MS, self._apply_routers),
@@ -126,7 +126,7 @@
                 tables.quarantine,
                 QUARANTINE_WAIT_MS,
                 QUARANTINE_PAUSE_MS,
-                self._took_quarantine,
+                self._on_quarantine_change,
             ),
         ):
             follower = TableFollower(
@@ -135,10 +135,10 @@
                 table,
                 wait_ms=wait_ms,
                 pause_ms=pause_ms,
-                took=took,
-                changed=self._status_reporter(table),
+                on_change=on_change,
+                on_status=self._status_reporter(table),
                 reads=partial(self._reads, table),
-                told=self._publish,
+                publish=self._publish,
                 wanted=self._request_copy,
             )
             self._followers[table] = follower
@@ -152,11 +152,11 @@
         """Number of calls made to the store."""
         return self._closed_client_calls + sum(client.calls for client in self._clients)
 
-    def hear(self, news: TableNews, stamp_ms: float) -> None:
+    def receive(self, news: TableNews, stamp_ms: float) -> None:
         """Apply changes that another router read from the store."""
         follower = self._followers.get(news.table)
         if follower is not None:
-            follower.hear(news, stamp_ms)
+            follower.receive(news, stamp_ms)
 
     def copy(self, wanted: CopyWanted) -> TableNews | None:
         """The table that another router requests, if this one can send it."""
@@ -179,7 +179,7 @@
             self._closed_client_calls += client.calls
         return True
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """Remove this router from the list of routers.
 
         The removal is conditional on the row's version: a write whose answer is lost may take
@@ -215,7 +215,7 @@
             if what == "regained":
                 for name, follower in self._followers.items():
                     if name != table:
-                        follower.renew()
+                        follower.restart_call()
 
         return report
 
--- a/packages/gateway/src/tamarack_gateway/gateway.py
+++ b/packages/gateway/src/tamarack_gateway/gateway.py
@@ -72,7 +72,7 @@
             clock,
             log,
             self._connections,
-            changed=lambda: self._peers.tell_summary(),
+            changed=lambda: self._peers.publish_summary(),
             turned_away=lambda: self._caller_limit.turned_away,
         )
         self._metrics = GatewayMetrics(
@@ -85,7 +85,7 @@
         self._quarantine = self._make_quarantine()
         self._pages = self._make_pages()
         self._detector = TerminationDetector(
-            self._state, self._pool, on_termination=self._quarantine.saw
+            self._state, self._pool, on_termination=self._quarantine.record_termination
         )
         self._handler = CallerHandler(
             self._state,
@@ -191,12 +191,12 @@
         )
         state.leaving = plan
         self._log.event("leaving", connections=len(self._connections))
-        self._peers.tell_summary()
+        self._peers.publish_summary()
         for connection in list(self._connections):
             connection.closing = True
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(plan.left_ms(clock.now_ms) / 1000):
-                await self._feeds.leave()
+                await self._feeds.deregister()
         while plan.left_ms(clock.now_ms) > 0.0:
             if not plan.lingers(clock.now_ms):
                 for connection in list(self._connections):
@@ -211,8 +211,8 @@
     def _make_quarantine(self) -> QuarantineFeed:
         return QuarantineFeed(
             self._state,
-            tell=lambda evidence: self._peers.tell_evidence(evidence),
-            writes=self._state.owns,
+            on_evidence=lambda evidence: self._peers.publish_evidence(evidence),
+            owns_row=self._state.owns,
             write=lambda key, value: self._feeds.write_quarantine(key, value),
         )
 
@@ -238,9 +238,9 @@
             outbox=self._outbox,
             summary=self._summary,
             others=lambda: self._members.heard_within(5_000.0, self._clock.now_ms),
-            took=self._on_report,
-            took_work=self._state.apply_placements,
-            took_alive=lambda stamps: self._members.alive(stamps, self._clock.now_ms),
+            on_report=self._on_report,
+            on_placements=self._state.apply_placements,
+            on_alive=lambda stamps: self._members.alive(stamps, self._clock.now_ms),
         )
 
     def _make_feeds(self) -> FleetFeeds:
@@ -249,9 +249,9 @@
             self._state,
             follow=self._follow,
             reads=self._reads,
-            told=self._publish_news,
-            wanted=self._peers.tell_wanted,
-            took_quarantine=self._quarantine.took,
+            publish=self._publish_news,
+            wanted=self._peers.publish_copy_request,
+            on_quarantine_change=self._quarantine.apply_change,
         )
 
     def _make_inventory(self) -> CacheInventory:
@@ -294,7 +294,7 @@
         if self._members.heard_within(5_000.0, self._clock.now_ms):
             if news.table == self._site.tables.configuration:
                 news = news._replace(stamps=self._members.stamps())
-            self._peers.tell_news(news)
+            self._peers.publish_changes(news)
 
     def _on_report(self, report: Report) -> None:
         if report.summary is not None:
@@ -304,11 +304,11 @@
             self._state.apply_placements(report.placements)
         if report.news is not None:
             stamp_ms = report.news.stamps.get(self._settings.router, float("-inf"))
-            self._feeds.hear(report.news, stamp_ms)
+            self._feeds.receive(report.news, stamp_ms)
         if report.wanted is not None:
             self._send_copy(report.wanted)
         if report.evidence is not None:
-            self._quarantine.hear(report.evidence)
+            self._quarantine.receive(report.evidence)
 
     def _send_copy(self, wanted: CopyWanted) -> None:
         if self._members.sends_copy(f"{wanted.table}/{wanted.tries}", self._me, self._clock.now_ms):
--- a/packages/gateway/src/tamarack_gateway/peer_group.py
+++ b/packages/gateway/src/tamarack_gateway/peer_group.py
@@ -65,11 +65,11 @@
         Returns this router's current summary.
     others
         Returns the number of other routers with a recent summary.
-    took
+    on_report
         Called with each report of another router.
-    took_work
+    on_placements
         Called with the summed placements of routers of other failure domains.
-    took_alive
+    on_alive
         Called with the timestamps of routers whose summaries are unchanged, by their own clocks.
     """
 
@@ -84,9 +84,9 @@
         outbox: Outbox,
         summary: Callable[[], Summary],
         others: Callable[[], int],
-        took: Callable[[Report], None],
-        took_work: Callable[[Placements], None],
-        took_alive: Callable[[dict[str, float]], None],
+        on_report: Callable[[Report], None],
+        on_placements: Callable[[Placements], None],
+        on_alive: Callable[[dict[str, float]], None],
     ) -> None:
         self._router = router
         self._domain = failure_domain
@@ -96,9 +96,9 @@
         self._outbox = outbox
         self._summary = summary
         self._peer_count = others
-        self._on_report = took
-        self._on_work = took_work
-        self._on_alive = took_alive
+        self._on_report = on_report
+        self._on_placements = on_placements
+        self._on_alive = on_alive
         self._plan = RelayPlan(router, failure_domain)
         self._links = Links(frozenset(), None, False)
         self._listed: Mapping[str, Peer] = {}
@@ -162,19 +162,19 @@
         if not self._plan.large:
             self._update_subscriptions()
 
-    def tell_summary(self) -> None:
+    def publish_summary(self) -> None:
         """Publish this router's summary at once."""
         self._publish(summary=self._summary())
 
-    def tell_news(self, news: TableNews) -> None:
+    def publish_changes(self, news: TableNews) -> None:
         """Publish changes that this router read from the store at once."""
         self._publish(news=news)
 
-    def tell_wanted(self, wanted: CopyWanted) -> None:
+    def publish_copy_request(self, wanted: CopyWanted) -> None:
         """Request a whole table from the other routers."""
         self._publish(wanted=wanted)
 
-    def tell_evidence(self, evidence: Evidence) -> None:
+    def publish_evidence(self, evidence: Evidence) -> None:
         """Publish new evidence about requests that crash endpoints at once."""
         self._publish(evidence=evidence)
 
@@ -192,7 +192,7 @@
         if self._links.relays:
             self._collect(report)
             return
-        self._sockets.tell(_reports_topic(self._domain), report)
+        self._sockets.publish(_reports_topic(self._domain), report)
 
     def _receive(self, topic: bytes, message: Any) -> None:
         if isinstance(message, Report):
@@ -211,7 +211,7 @@
 
     def _deliver(self, message: Any) -> None:
         if isinstance(message, Gathered):
-            self._on_work(message.placements)
+            self._on_placements(message.placements)
         elif isinstance(message, Alive):
             message.stamps.pop(self._router, None)
             self._on_alive(message.stamps)
@@ -268,11 +268,11 @@
         self._last_relay_ms = now_ms
         if own or alive:
             across = _for_other_domains(self._router, own)
-            self._sockets.tell(_across_topic(self._domain), *across, Alive(alive))
+            self._sockets.publish(_across_topic(self._domain), *across, Alive(alive))
         within: list[Any] = [Digest(self._router, own + foreign), Alive(all_alive)]
         if work is not None:
             within.append(Gathered(work))
-        self._sockets.tell(_within_topic(self._domain), *within)
+        self._sockets.publish(_within_topic(self._domain), *within)
 
     # subscriptions
 
@@ -298,7 +298,7 @@
             self._switch_role(links.relays)
         self._links = links
         addresses = links.addresses | self._departed_addresses(links)
-        self._sockets.follow(addresses, self._topics(links))
+        self._sockets.subscribe(addresses, self._topics(links))
 
     def _switch_role(self, relays: bool) -> None:
         if self._relay_task is not None:
@@ -325,7 +325,7 @@
     for report in reports:
         if report.placements is not None:
             work.add(report.placements)
-        if report.tells_more:
+        if report.has_more_than_placements:
             remaining.append(report._replace(placements=None))
     placements = work.take()
     messages: list[Any] = [Digest(relay, remaining)]
--- a/packages/gateway/src/tamarack_gateway/peer_messages.py
+++ b/packages/gateway/src/tamarack_gateway/peer_messages.py
@@ -52,7 +52,7 @@
         return self.placements is not None or self._has_event
 
     @property
-    def tells_more(self) -> bool:
+    def has_more_than_placements(self) -> bool:
         """Whether it contains more than placements."""
         return self.summary is not None or self._has_event
 
--- a/packages/gateway/src/tamarack_gateway/peer_sockets.py
+++ b/packages/gateway/src/tamarack_gateway/peer_sockets.py
@@ -35,12 +35,12 @@
     ----------
     listen
         Address as `IP:PORT`; port 0 selects a free port.
-    took
+    on_message
         Called with the topic and content of each received message.
     """
 
-    def __init__(self, listen: str, took: Callable[[bytes, Any], None]) -> None:
-        self._on_message = took
+    def __init__(self, listen: str, on_message: Callable[[bytes, Any], None]) -> None:
+        self._on_message = on_message
         self._context = zmq.Context()
         self._out = self._socket(zmq.PUB)
         self._in = self._socket(zmq.SUB)
@@ -69,7 +69,7 @@
         """Address at which peers subscribe."""
         return self._address
 
-    def follow(self, addresses: frozenset[str], topics: frozenset[bytes]) -> None:
+    def subscribe(self, addresses: frozenset[str], topics: frozenset[bytes]) -> None:
         """Subscribe to exactly these topics of exactly these peers."""
         wanted = addresses - {self._address}
         if wanted == self._peers and topics == self._topics:
@@ -84,7 +84,7 @@
             self._in.disconnect(f"tcp://{address}")
         self._peers, self._topics = wanted, topics
 
-    def tell(self, topic: bytes, *messages: Any) -> None:
+    def publish(self, topic: bytes, *messages: Any) -> None:
         """Send messages to all subscribers without waiting; slow subscribers lose some."""
         with contextlib.suppress(zmq.Again):
             self._out.send_multipart([topic, encode(list(messages))], zmq.NOBLOCK)
--- a/packages/gateway/src/tamarack_gateway/quarantine_feed.py
+++ b/packages/gateway/src/tamarack_gateway/quarantine_feed.py
@@ -23,7 +23,7 @@
 WRITE_MS = 500.0
 """Time between two checks for decisions that the store does not list yet."""
 
-OTHERS_WRITE_MS = 3_000.0
+TAKEOVER_MS = 3_000.0
 """Time after which other routers write a decision that its owner has not written: the owner may
 have terminated, or the store rejects it."""
 
@@ -50,9 +50,9 @@
 
     Parameters
     ----------
-    tell
+    on_evidence
         Called with evidence to publish to the other routers.
-    writes
+    owns_row
         Returns whether this router owns the row of a quarantined request.
     write
         Writes or removes a row; returns whether that succeeded.
@@ -62,14 +62,14 @@
         self,
         state: FleetState,
         *,
-        tell: Callable[[Evidence], None],
-        writes: Callable[[str], bool],
+        on_evidence: Callable[[Evidence], None],
+        owns_row: Callable[[str], bool],
         write: Callable[[str, bytes | None], Awaitable[bool]],
     ) -> None:
         self._state = state
         self._quarantine = state.quarantine
-        self._publish = tell
-        self._owns_row = writes
+        self._on_evidence = on_evidence
+        self._owns_row = owns_row
         self._write_row = write
         self._pending = Evidence([], [], [])
         self._pending_event = asyncio.Event()
@@ -79,7 +79,7 @@
 
     # observations and updates
 
-    def saw(self, end: End) -> None:
+    def record_termination(self, end: End) -> None:
         """Record a termination that this router detected."""
         fingerprints = [aboard.fingerprint for aboard in end.aboard]
         self._state.log.change(
@@ -109,7 +109,7 @@
         self._pending.cleared.append(fingerprint)
         self._pending_event.set()
 
-    def hear(self, evidence: Evidence) -> None:
+    def receive(self, evidence: Evidence) -> None:
         """Apply evidence from another router."""
         now_ms = self._state.clock.now_ms
         for end in evidence.ends:
@@ -119,7 +119,7 @@
             if self._quarantine.take_in(request, now_ms):
                 self._log_quarantined(request, "told by another router")
 
-    def took(self, change: TableChange) -> None:
+    def apply_change(self, change: TableChange) -> None:
         """Apply rows of the store."""
         now_ms = self._state.clock.now_ms
         for row in change.rows:
@@ -151,7 +151,7 @@
                 self._decision_event.set()
             if any(self._pending):
                 news, self._pending = self._pending, Evidence([], [], [])
-                self._publish(news)
+                self._on_evidence(news)
 
     async def store(self) -> None:
         """Write decisions to the store until it lists them; runs until cancelled."""
@@ -206,7 +206,7 @@
         # On average one router of the fleet in each check: in an outage of the store, all of 195
         # would otherwise call it twice a second each.
         draw = self._state.random.random()
-        return waited_ms >= OTHERS_WRITE_MS and draw * self._state.allowance.routers < 1.0
+        return waited_ms >= TAKEOVER_MS and draw * self._state.allowance.routers < 1.0
 
     def _record_end(self, end: End) -> None:
         self._quarantine.ended(end, self._state.clock.now_ms)
--- a/packages/gateway/src/tamarack_gateway/table_follower.py
+++ b/packages/gateway/src/tamarack_gateway/table_follower.py
@@ -118,13 +118,13 @@
         How long the store holds a call until something changes.
     pause_ms
         Minimum time between two calls; it limits the call rate while the table changes often.
-    took
+    on_change
         Called with each change.
-    changed
+    on_status
         Called with a status and a reason when the store becomes unavailable or available again.
     reads
         Returns whether this router calls the store itself.
-    told
+    publish
         Called with the result of a call, to be published to other routers.
     wanted
         Called when another router should send this one the whole table.
@@ -142,10 +142,10 @@
         *,
         wait_ms: float,
         pause_ms: float,
-        took: Callable[[TableChange], None],
-        changed: Callable[[str, str], None],
+        on_change: Callable[[TableChange], None],
+        on_status: Callable[[str, str], None],
         reads: Callable[[], bool] = lambda: True,
-        told: Callable[[TableNews], None] = lambda news: None,
+        publish: Callable[[TableNews], None] = lambda news: None,
         wanted: Callable[[CopyWanted], None] = lambda wanted: None,
     ) -> None:
         self._client = client
@@ -153,10 +153,10 @@
         self._table = table
         self._wait_ms = wait_ms
         self._pause_ms = pause_ms
-        self._on_change = took
-        self._on_status = changed
+        self._on_change = on_change
+        self._on_status = on_status
         self._reads = reads
-        self._on_result = told
+        self._on_result = publish
         self._request_copy = wanted
         self._rows: dict[str, Row] = {}
         self._call_sent_ms = float("-inf")
@@ -187,7 +187,7 @@
         finally:
             self._client.close()
 
-    def renew(self) -> None:
+    def restart_call(self) -> None:
         """Record that the store has recovered, and restart the call in progress.
 
         The grace period for expired rows starts now, not with this table's next answer, which may
@@ -200,7 +200,7 @@
             self._restarting_call = True
             self._call_task.cancel()
 
-    def hear(self, news: TableNews, stamp_ms: float) -> None:
+    def receive(self, news: TableNews, stamp_ms: float) -> None:
         """Apply a reader's message; `stamp_ms` is this router's newest time known to the reader."""
         self._last_news_ms = self._clock.now_ms
         if news.whole:
--- a/tests/test_foreign_rows_fuzz.py
+++ b/tests/test_foreign_rows_fuzz.py
@@ -258,15 +258,15 @@
             self.state,
             follow=self._follow,
             reads=lambda table: True,
-            told=lambda news: None,
+            publish=lambda news: None,
             wanted=lambda wanted: None,
-            took_quarantine=lambda change: self.quarantine.took(change),
+            on_quarantine_change=lambda change: self.quarantine.apply_change(change),
         )
         self.evidence: list[Evidence] = []
         self.quarantine = QuarantineFeed(
             self.state,
-            tell=self.evidence.append,
-            writes=lambda fingerprint: False,
+            on_evidence=self.evidence.append,
+            owns_row=lambda fingerprint: False,
             write=self._write,
         )
         # Without a store, this router cannot be added to the list of routers.
@@ -291,7 +291,7 @@
             "servers": self.feeds._apply_endpoints,
             "op": self.feeds._apply_rules,
             "routers": self.feeds._apply_routers,
-            "quarantine": self.quarantine.took,
+            "quarantine": self.quarantine.apply_change,
         }
         take[table](change)
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -500,7 +500,7 @@
             feeds = fleet.gateway._feeds
             follower = feeds._followers["servers"]
             fleet.store.refusing = 503
-            follower.renew()
+            follower.restart_call()
             await until(lambda: follower._failures > 0)
             fleet.store.refusing = 0
             await until(lambda: follower._failures == 0)
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -122,7 +122,7 @@
                 await until(lambda: router._feeds._own_version is not None)
                 first = rows("routers")["router-2"]
                 fleet.store.late_s = 0.6
-                await router._feeds.leave()
+                await router._feeds.deregister()
             fleet.store.late_s = 0.0
             async with fleet.router("router-2") as router:
                 await until(lambda: rows("routers")["router-2"] != first)
--- a/tests/test_peer_group.py
+++ b/tests/test_peer_group.py
@@ -13,7 +13,7 @@
 from tamarack_gateway.outbox import Outbox, Placements
 from tamarack_gateway.peer_group import PeerGroup
 from tamarack_gateway.peer_messages import Report, Summary
-from tamarack_gateway.summary_filter import TOLD_AGAIN_MS, SummaryFilter
+from tamarack_gateway.summary_filter import FULL_SUMMARY_INTERVAL_MS, SummaryFilter
 
 DOMAINS = ("a", "b", "c")
 SIZE = SMALL_FLEET + 3
@@ -40,9 +40,11 @@
             outbox=self.outbox,
             summary=lambda: Summary(name, 1, domain, "", True, True),
             others=lambda: len(self.summaries),
-            took=self.took,
-            took_alive=lambda stamps: self.alive.update(stamps),
-            took_work=lambda work: self.sums.extend(placed.reading_ms for placed in work.placed),
+            on_report=self.on_report,
+            on_alive=lambda stamps: self.alive.update(stamps),
+            on_placements=lambda work: self.sums.extend(
+                placed.reading_ms for placed in work.placed
+            ),
         )
 
     @property
@@ -51,7 +53,7 @@
             reading for readings in self.received.values() for reading in readings
         )
 
-    def took(self, report: Report) -> None:
+    def on_report(self, report: Report) -> None:
         if report.summary is not None:
             self.summaries.add(report.router)
         if report.placements is not None:
@@ -153,6 +155,6 @@
     assert summary_filter.filter(reports, 100.0) == ([], {"r": 5.0})
     changed = [Report("r", 9.0, unchanged._replace(ready=False))]
     assert summary_filter.filter(changed, 200.0) == (changed, {})
-    assert summary_filter.filter(changed, 200.0 + TOLD_AGAIN_MS) == (changed, {})
+    assert summary_filter.filter(changed, 200.0 + FULL_SUMMARY_INTERVAL_MS) == (changed, {})
     placed = Report("r", 9.0, changed[0].summary, Placements([], {}))
     assert summary_filter.filter([placed], 2_300.0) == ([placed._replace(summary=None)], {"r": 9.0})
--- a/tests/test_quarantine_feed.py
+++ b/tests/test_quarantine_feed.py
@@ -7,7 +7,7 @@
 from test_foreign_rows_fuzz import Feeds
 
 from tamarack_core.end_evidence import QuarantinedRequest
-from tamarack_gateway.quarantine_feed import OTHERS_WRITE_MS, QuarantineFeed
+from tamarack_gateway.quarantine_feed import TAKEOVER_MS, QuarantineFeed
 
 ROUTERS = 195
 CHECKS = 200
@@ -31,12 +31,12 @@
         clock = state.clock
         state.allowance.seen(ROUTERS)
         feed = QuarantineFeed(
-            state, tell=lambda evidence: None, writes=lambda key: False, write=write
+            state, on_evidence=lambda evidence: None, owns_row=lambda key: False, write=write
         )
         state.quarantine.take_in(QuarantinedRequest("f1", "shop", 0), clock.now_ms)
         await feed._store_decisions()
         assert attempts == []
-        clock.advance(OTHERS_WRITE_MS)  # type: ignore[attr-defined]
+        clock.advance(TAKEOVER_MS)  # type: ignore[attr-defined]
         for _ in range(CHECKS):
             await feed._store_decisions()
         # One check in 195 on average, so 1.03 of these 200; previously all 200.
@@ -66,7 +66,7 @@
 
         state = Feeds().state
         feed = QuarantineFeed(
-            state, tell=lambda evidence: None, writes=lambda key: False, write=write
+            state, on_evidence=lambda evidence: None, owns_row=lambda key: False, write=write
         )
         for name in ("f1", "f2"):
             state.quarantine.take_in(QuarantinedRequest(name, "shop", 0), 0.0, stored=True)
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -38,22 +38,22 @@
             "op",
             wait_ms=1_000.0,
             pause_ms=0.0,
-            took=self.changes.append,
-            changed=lambda what, reason: None,
+            on_change=self.changes.append,
+            on_status=lambda what, reason: None,
             reads=lambda: False,
         )
         self.follower._version = 10
 
-    def receive(self, after: int, version: int, rows: list[RowNews] | None, **more: float) -> None:
+    def deliver(self, after: int, version: int, rows: list[RowNews] | None, **more: float) -> None:
         news = TableNews("op", after, version, more.get("age_ms", 0.0), rows, {})
-        self.follower.hear(news, more.get("stamp_ms", self.clock.now_ms))
+        self.follower.receive(news, more.get("stamp_ms", self.clock.now_ms))
 
 
 def test_overlapping_messages_are_applied_once() -> None:
     listener = Listener()
-    listener.receive(10, 12, [RowNews("a", b"1", 12)])
-    listener.receive(10, 12, [RowNews("a", b"1", 12)])
-    listener.receive(11, 14, [RowNews("a", b"1", 12), RowNews("b", None, 14)])
+    listener.deliver(10, 12, [RowNews("a", b"1", 12)])
+    listener.deliver(10, 12, [RowNews("a", b"1", 12)])
+    listener.deliver(11, 14, [RowNews("a", b"1", 12), RowNews("b", None, 14)])
     assert [[row.key for row in change.rows] for change in listener.changes] == [["a"], [], ["b"]]
     assert listener.follower.version == 14
 
@@ -65,14 +65,14 @@
     were no gap.
     """
     listener = Listener()
-    listener.receive(12, 14, [RowNews("b", b"2", 14)])
+    listener.deliver(12, 14, [RowNews("b", b"2", 14)])
     assert listener.changes == []
     assert not listener.follower._listening()
 
 
 def test_rows_that_are_too_large_for_a_message_are_read_from_the_store() -> None:
     listener = Listener()
-    listener.receive(10, 12, None)
+    listener.deliver(10, 12, None)
     assert listener.changes == []
     assert not listener.follower._listening()
 
@@ -99,13 +99,13 @@
     """
     listener = Listener()
     listener.clock.advance(20_000.0)
-    listener.receive(10, 10, [], stamp_ms=100_000.0, age_ms=700.0)
+    listener.deliver(10, 10, [], stamp_ms=100_000.0, age_ms=700.0)
     assert listener.changes[0].asked_ms == 99_300.0
 
 
 def test_a_listener_without_messages_calls_the_store() -> None:
     listener = Listener()
-    listener.receive(10, 10, [])
+    listener.deliver(10, 10, [])
     assert listener.follower._listening()
     listener.clock.advance(2_200.0)
     assert not listener.follower._listening()
@@ -140,7 +140,7 @@
     listener = Listener()
     follower = listener.follower
     follower._failures = 3
-    follower.renew()
+    follower.restart_call()
     listener.clock.advance(900.0)
     follower._store_answered()
     assert follower._recovered_ms == 100_000.0
@@ -257,7 +257,7 @@
 
 def test_one_copy_serves_all_routers_that_request_it() -> None:
     listener = Listener()
-    listener.receive(10, 12, [RowNews("a", b"1", 12)])
+    listener.deliver(10, 12, [RowNews("a", b"1", 12)])
     reader = listener.follower
     reader._reads = lambda: True
     assert reader.copy(12) is None
@@ -266,8 +266,8 @@
     assert (copy.whole, copy.version, [row.key for row in copy.rows or []]) == (True, 12, ["a"])
     assert reader.copy(10) is None
     requester = Listener()
-    requester.receive(11, 12, [])
-    requester.follower.hear(copy, requester.clock.now_ms)
+    requester.deliver(11, 12, [])
+    requester.follower.receive(copy, requester.clock.now_ms)
     assert requester.follower.version == 12
     assert [change.whole for change in requester.changes] == [True]
 
@@ -291,7 +291,7 @@
         listener.follower._client = cast(Any, store)
         step = asyncio.ensure_future(listener.follower._call_store())
         await asyncio.sleep(0)
-        listener.receive(10, 12, [RowNews("e", b"draining", 12)])
+        listener.deliver(10, 12, [RowNews("e", b"draining", 12)])
         store.answer.set_result(RowsPage([Row("op", "e", b"ready", 11)], 11, False))
         await step
         applied = {row.key: row.value for change in listener.changes for row in change.rows}
@@ -316,7 +316,7 @@
         await listener.follower._store_failed(StoreError("status 503"))
         assert [want.after for want in wanted] == [0]
         copy = TableNews("op", 0, 12, 0.0, [RowNews("a", b"1", 12)], {}, whole=True)
-        listener.follower.hear(copy, listener.clock.now_ms)
+        listener.follower.receive(copy, listener.clock.now_ms)
         assert listener.follower.version == 12
 
     play(scenario())
