--- a/packages/gateway/src/tamarack_gateway/fleet_feeds.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_feeds.py
@@ -305,9 +305,7 @@
         if change.rows or change.whole:
             state.sync_endpoints()
             for name in state.book.lifeless:
-                state.unreadable.note(
-                    RowKind.ENDPOINT, name, 0, "has no incarnation, unlike other entries"
-                )
+                state.unreadable.note(RowKind.ENDPOINT, name, 0, "tells no life, as the others do")
         state.endpoints_known = True
         self._schedule_expiry()
 
--- a/tests/test_caller_crowd.py
+++ b/tests/test_connection_limiter.py
@@ -40,7 +40,7 @@
         ):
             await until(lambda: router.state.ready)
             kept = await open_idle(fleet, router, LIMIT // 2 - 1)
-            # Opened before the router is crowded and used after: these close after their answers.
+            # Opened before the router is near its limit, used after: these close after an answer.
             opened = [await connect(router.callers) for _ in range(LIMIT - len(kept))]
             await until(lambda: len(router._connections) == LIMIT)
             await asyncio.sleep(0.3)
@@ -54,7 +54,7 @@
     play(run())
 
 
-def test_a_crowded_router_closes_connections_after_answers() -> None:
+def test_a_router_near_its_limit_closes_connections_after_answers() -> None:
     async def run() -> None:
         async with (
             Fleet({"web": [PlatformWorker("w1")]}) as fleet,
@@ -65,9 +65,9 @@
             assert "connection" not in first.headers
             opened = [await connect(router.callers) for _ in range(LIMIT // 2)]
             await until(lambda: len(router._connections) == LIMIT // 2)
-            crowded = await fleet.ask("/page/2", at=router)
-            assert crowded.status == 200
-            assert crowded.headers["connection"] == "close"
+            near_limit = await fleet.ask("/page/2", at=router)
+            assert near_limit.status == 200
+            assert near_limit.headers["connection"] == "close"
             for _, writer in opened:
                 writer.close()
             await until(lambda: not router._connections)
@@ -76,7 +76,7 @@
     play(run())
 
 
-def test_callers_are_directed_to_other_routers_when_one_is_crowded() -> None:
+def test_callers_are_directed_to_other_routers_when_one_is_near_its_limit() -> None:
     """Failure: callers keep going to a router that rejects them while others have room.
 
     That happens if only routers with a lagging event loop are left out of the address list.
