--- a/packages/bench/src/tamarack_bench/quarantine_model.py
+++ b/packages/bench/src/tamarack_bench/quarantine_model.py
@@ -13,10 +13,10 @@
 from functools import partial
 from typing import NamedTuple
 
-from tamarack_core.end_evidence import Aboard, End, Evidence
-from tamarack_core.endpoint_book import EndpointLife
+from tamarack_core.endpoint_registry import EndpointIncarnation
 from tamarack_core.quarantine import Quarantine, Treatment
 from tamarack_core.rendezvous import winner
+from tamarack_core.termination_evidence import Evidence, InterruptedRequest, Termination
 
 SETTLE_STEP_MS = 50.0
 RESEND_MS = 15.0
@@ -135,7 +135,7 @@
         self.routers = [self._quarantine(name) for name in self._names]
         self._started_ms = [-CONTACT_MS] * options.routers
         self._incarnations = itertools.count(1)
-        self._engines: dict[EndpointLife, dict[int, _Send]] = {}
+        self._engines: dict[EndpointIncarnation, dict[int, _Send]] = {}
         self._request_numbers = itertools.count()
         self._arrivals: dict[str, list[_Arrival]] = {}
         self._counts: Counter[str] = Counter()
@@ -172,7 +172,7 @@
         self._started_ms[number] = self._now_ms
         if rows:
             for request in before.unstored():
-                fresh.take_in(request, self._now_ms, stored=True)
+                fresh.add(request, self._now_ms, stored=True)
 
     def at(self, at_ms: float, callback: Callable[[], None]) -> None:
         """Schedule an event at a simulated time."""
@@ -193,7 +193,7 @@
 
     def _settle(self) -> None:
         for number, router in enumerate(self.routers):
-            decisions = router.settle(self._now_ms)
+            decisions = router.decide_due(self._now_ms)
             if decisions:
                 self._publish(number, Evidence([], [], decisions))
         self._schedule_in(SETTLE_STEP_MS, self._settle)
@@ -205,7 +205,7 @@
                 router.ended(end, self._now_ms)
             router.cleared(evidence.cleared)
             for request in evidence.quarantined:
-                router.take_in(request, self._now_ms)
+                router.add(request, self._now_ms)
 
         for number in range(len(self.routers)):
             if number != publisher:
@@ -229,7 +229,7 @@
     def _send(self, request: _Request, router: int) -> None:
         quarantine, isolated = self.routers[router], False
         if self._watching and quarantine.watching:
-            standing = quarantine.look(request.fingerprint, "shop", self._now_ms)
+            standing = quarantine.treatment_of(request.fingerprint, "shop", self._now_ms)
             if standing.treatment is Treatment.QUARANTINED:
                 self._finish(request, "quarantined")
                 return
@@ -242,13 +242,15 @@
             return
         keys = list(self._engines)
         if isolated:
-            key = quarantine.place(request.fingerprint, keys)
+            key = quarantine.choose_endpoint(request.fingerprint, keys)
             quarantine.begun(request.fingerprint, key)
         else:
             key = min(keys, key=lambda k: len(self._engines[k]) + 4 * self._random.random())
         self._run(request, router, key, isolated)
 
-    def _run(self, request: _Request, router: int, key: EndpointLife, isolated: bool) -> None:
+    def _run(
+        self, request: _Request, router: int, key: EndpointIncarnation, isolated: bool
+    ) -> None:
         request.sends += 1
         queue_ms = self._random.uniform(10.0, 400.0)
         send = _Send(request, router, self._now_ms + queue_ms)
@@ -266,7 +268,7 @@
             queue_ms + self._random.uniform(500, 4_000), partial(self._answer, key, send)
         )
 
-    def _answer(self, key: EndpointLife, send: _Send) -> None:
+    def _answer(self, key: EndpointIncarnation, send: _Send) -> None:
         if self._engines.get(key, {}).pop(id(send), None) is None:
             return
         router = self.routers[send.router]
@@ -275,7 +277,7 @@
             self._publish(send.router, Evidence([], [send.request.fingerprint], []))
         self._finish(send.request, "served")
 
-    def _release(self, key: EndpointLife, send: _Send) -> None:
+    def _release(self, key: EndpointIncarnation, send: _Send) -> None:
         if send.isolated:
             self.routers[send.router].finished(send.request.fingerprint, key)
 
@@ -295,9 +297,9 @@
 
     def _start_engine(self) -> None:
         number = next(self._incarnations)
-        self._engines[EndpointLife(f"e{number}", number)] = {}
+        self._engines[EndpointIncarnation(f"e{number}", number)] = {}
 
-    def _crash(self, key: EndpointLife, cause: _Send) -> None:
+    def _crash(self, key: EndpointIncarnation, cause: _Send) -> None:
         if id(cause) in self._engines.get(key, {}):
             self._counts["ends"] += 1
             self._terminate(key, together=False)
@@ -307,7 +309,7 @@
         for key in self._random.sample(keys, (len(keys) + 1) // 2):
             self._terminate(key, together=True)
 
-    def _terminate(self, key: EndpointLife, *, together: bool) -> None:
+    def _terminate(self, key: EndpointIncarnation, *, together: bool) -> None:
         self.ended_ms.append(self._now_ms)
         sends = list(self._engines.pop(key).values())
         self._schedule_in(self._options.back_ms, self._start_engine)
@@ -321,15 +323,15 @@
             )
 
     def _detect_termination(
-        self, router: int, key: EndpointLife, sends: list[_Send], together: bool
+        self, router: int, key: EndpointIncarnation, sends: list[_Send], together: bool
     ) -> None:
         aboard = [
-            Aboard(
+            InterruptedRequest(
                 send.request.fingerprint, "shop", self._now_ms - send.begins_ms < RECENT_START_MS
             )
             for send in sends
         ]
-        end = End(key.name, key.life, together, aboard)
+        end = Termination(key.name, key.life, together, aboard)
         self.routers[router].ended(end, self._now_ms)
         self._publish(router, Evidence([end], [], []))
         for send in sends:
