--- a/packages/gateway/src/tamarack_gateway/end_witness.py
+++ b/packages/gateway/src/tamarack_gateway/end_witness.py
@@ -105,24 +105,28 @@
         return [lost for lost in self.lost if last_ms - lost.at_ms <= BURST_MS]
 
 
-class EndWitness:
+class TerminationDetector:
     """Detects for one router which endpoints have terminated.
 
     Parameters
     ----------
-    took
+    on_termination
         Called with each termination, and again with later findings about it.
     """
 
     def __init__(
-        self, state: FleetState, pool: ConnectionPool, *, took: Callable[[Termination], None]
+        self,
+        state: FleetState,
+        pool: ConnectionPool,
+        *,
+        on_termination: Callable[[Termination], None],
     ) -> None:
         self._state = state
         self._pool = pool
-        self._on_termination = took
+        self._on_termination = on_termination
         self._checks: dict[EndpointIncarnation, _Check] = {}
         self._unconfirmed: dict[EndpointIncarnation, _Check] = {}
-        state.on_life_over = self._incarnation_over
+        state.on_incarnation_ended = self._incarnation_over
 
     async def lost(self, endpoint: Endpoint, aboard: InterruptedRequest, sent_ms: float) -> bool:
         """Record that an answer broke off; returns whether its endpoint has terminated.
@@ -136,7 +140,7 @@
         """
         now_ms = self._state.clock.now_ms
         check = self._checks.get(endpoint.key)
-        known_ms = self._state.ended_ms(endpoint.key)
+        known_ms = self._state.termination_ms(endpoint.key)
         if known_ms is not None and sent_ms >= known_ms:
             # A proxy accepted the request after the endpoint had terminated; it never ran.
             return True
@@ -163,7 +167,7 @@
     async def _run_check(self, check: _Check) -> bool:
         await asyncio.sleep(CHECK_DELAY_MS / 1000)
         endpoint, loop = check.endpoint, asyncio.get_running_loop()
-        if self._pool.lives(endpoint) or not await self._has_terminated(check):
+        if self._pool.has_open_connection(endpoint) or not await self._has_terminated(check):
             self._checks.pop(endpoint.key, None)
             self._keep_unconfirmed(check)
             return False
--- a/packages/gateway/src/tamarack_gateway/gateway.py
+++ b/packages/gateway/src/tamarack_gateway/gateway.py
@@ -12,22 +12,22 @@
 from tamarack_core.relay_plan import Peer
 from tamarack_gateway.cache_inventory import CacheInventory
 from tamarack_gateway.caller_connection import CallerConnection
-from tamarack_gateway.caller_crowd import CallerCrowd
 from tamarack_gateway.caller_handler import CallerHandler
+from tamarack_gateway.connection_limiter import ConnectionLimiter
 from tamarack_gateway.connection_pool import ConnectionPool
 from tamarack_gateway.decision_log import DecisionLog
-from tamarack_gateway.end_witness import EndWitness
+from tamarack_gateway.end_witness import TerminationDetector
 from tamarack_gateway.fleet_feeds import FleetFeeds
 from tamarack_gateway.fleet_members import FleetMembers, Member
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.gateway_metrics import GatewayMetrics
 from tamarack_gateway.listeners import Listeners
-from tamarack_gateway.loop_watch import LoopWatch
+from tamarack_gateway.loop_monitor import LoopMonitor
 from tamarack_gateway.outbox import Outbox
-from tamarack_gateway.own_pages import OwnPages
 from tamarack_gateway.peer_group import PeerGroup
 from tamarack_gateway.peer_messages import Report, Summary
 from tamarack_gateway.quarantine_feed import QuarantineFeed
+from tamarack_gateway.router_pages import RouterPages
 from tamarack_gateway.site import Site
 from tamarack_gateway.table_follower import CopyWanted, TableNews
 
@@ -68,34 +68,36 @@
         self._outbox = Outbox()
         self._members = FleetMembers()
         self._connections: set[CallerConnection] = set()
-        self._watch = LoopWatch(
+        self._loop_monitor = LoopMonitor(
             clock,
             log,
             self._connections,
-            changed=lambda: self._peers.tell_summary(),
+            changed=lambda: self._peers.publish_summary(),
             turned_away=lambda: self._caller_limit.turned_away,
         )
         self._metrics = GatewayMetrics(
             self._state,
             self._pool,
             store_calls=lambda: self._feeds.calls,
-            loop=self._watch.status,
+            loop=self._loop_monitor.status,
         )
         self._state.owns = lambda matter: self._members.owns(matter, self._me, clock.now_ms)
         self._quarantine = self._make_quarantine()
         self._pages = self._make_pages()
-        self._witness = EndWitness(self._state, self._pool, took=self._quarantine.saw)
+        self._detector = TerminationDetector(
+            self._state, self._pool, on_termination=self._quarantine.record_termination
+        )
         self._handler = CallerHandler(
             self._state,
             site.requests,
             self._pool,
             self._outbox,
             self._metrics,
-            self._watch,
-            self._witness,
+            self._loop_monitor,
+            self._detector,
             self._quarantine,
         )
-        self._caller_limit = CallerCrowd(self._state, self._connections)
+        self._caller_limit = ConnectionLimiter(self._state, self._connections)
         self._listeners = Listeners(self._state, clock, self._connections, self._caller_limit)
         self._tasks: list[asyncio.Task[Any]] = []
         self._lines_queued = asyncio.Event()
@@ -112,7 +114,7 @@
     async def __aenter__(self) -> Gateway:
         settings = self._settings
         await self._stack.enter_async_context(self._peers)
-        self._stack.enter_context(self._watch)
+        self._stack.enter_context(self._loop_monitor)
         self._feeds.start(self._peers.address, self._boot)
         listen = self._listeners.listen
         self._callers = await listen(settings.callers, self._handler.answer)
@@ -139,7 +141,7 @@
         self._listeners.close()
         self._handler.ending = True
         await asyncio.gather(*(connection.stop() for connection in list(self._connections)))
-        await self._witness.close()
+        await self._detector.close()
         self._pool.close()
         await asyncio.sleep(0)
         await self._stack.aclose()
@@ -189,12 +191,12 @@
         )
         state.leaving = plan
         self._log.event("leaving", connections=len(self._connections))
-        self._peers.tell_summary()
+        self._peers.publish_summary()
         for connection in list(self._connections):
             connection.closing = True
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(plan.left_ms(clock.now_ms) / 1000):
-                await self._feeds.leave()
+                await self._feeds.deregister()
         while plan.left_ms(clock.now_ms) > 0.0:
             if not plan.lingers(clock.now_ms):
                 for connection in list(self._connections):
@@ -209,20 +211,20 @@
     def _make_quarantine(self) -> QuarantineFeed:
         return QuarantineFeed(
             self._state,
-            tell=lambda evidence: self._peers.tell_evidence(evidence),
-            writes=self._state.owns,
+            on_evidence=lambda evidence: self._peers.publish_evidence(evidence),
+            owns_row=self._state.owns,
             write=lambda key, value: self._feeds.write_quarantine(key, value),
         )
 
-    def _make_pages(self) -> OwnPages:
-        return OwnPages(
+    def _make_pages(self) -> RouterPages:
+        return RouterPages(
             self._state,
             self._members,
             self._metrics,
             self._site.directory,
             me=lambda: self._me,
             relays=lambda: self._peers.relays,
-            loop=self._watch.status,
+            loop=self._loop_monitor.status,
             release=self._quarantine.release,
         )
 
@@ -236,9 +238,9 @@
             outbox=self._outbox,
             summary=self._summary,
             others=lambda: self._members.heard_within(5_000.0, self._clock.now_ms),
-            took=self._on_report,
-            took_work=self._state.take_placements,
-            took_alive=lambda stamps: self._members.alive(stamps, self._clock.now_ms),
+            on_report=self._on_report,
+            on_placements=self._state.apply_placements,
+            on_alive=lambda stamps: self._members.alive(stamps, self._clock.now_ms),
         )
 
     def _make_feeds(self) -> FleetFeeds:
@@ -247,9 +249,9 @@
             self._state,
             follow=self._follow,
             reads=self._reads,
-            told=self._publish_news,
-            wanted=self._peers.tell_wanted,
-            took_quarantine=self._quarantine.took,
+            publish=self._publish_news,
+            wanted=self._peers.publish_copy_request,
+            on_quarantine_change=self._quarantine.apply_change,
         )
 
     def _make_inventory(self) -> CacheInventory:
@@ -259,7 +261,7 @@
             self._pool,
             self._outbox,
             settles=lambda: self._peers.large,
-            asks=lambda name: self._members.asks(name, self._me, self._clock.now_ms),
+            queries=lambda name: self._members.queries(name, self._me, self._clock.now_ms),
         )
 
     # peers
@@ -275,7 +277,7 @@
             self._state.ready,
             self._clock.now_ms,
             self._state.fresh,
-            overloaded=self._watch.avoid or self._caller_limit.crowded,
+            overloaded=self._loop_monitor.avoid or self._caller_limit.near_limit,
         )
 
     def _follow(self, peers: dict[str, Peer]) -> None:
@@ -292,24 +294,24 @@
         if self._members.heard_within(5_000.0, self._clock.now_ms):
             if news.table == self._site.tables.configuration:
                 news = news._replace(stamps=self._members.stamps())
-            self._peers.tell_news(news)
+            self._peers.publish_changes(news)
 
     def _on_report(self, report: Report) -> None:
         if report.summary is not None:
             self._on_summary(report.summary, report.stamp_ms)
         self._members.stamped(report.router, report.stamp_ms)
         if report.placements is not None:
-            self._state.take_placements(report.placements)
+            self._state.apply_placements(report.placements)
         if report.news is not None:
             stamp_ms = report.news.stamps.get(self._settings.router, float("-inf"))
-            self._feeds.hear(report.news, stamp_ms)
+            self._feeds.receive(report.news, stamp_ms)
         if report.wanted is not None:
             self._send_copy(report.wanted)
         if report.evidence is not None:
-            self._quarantine.hear(report.evidence)
+            self._quarantine.receive(report.evidence)
 
     def _send_copy(self, wanted: CopyWanted) -> None:
-        if self._members.gives(f"{wanted.table}/{wanted.tries}", self._me, self._clock.now_ms):
+        if self._members.sends_copy(f"{wanted.table}/{wanted.tries}", self._me, self._clock.now_ms):
             news = self._feeds.copy(wanted)
             if news is not None:
                 self._publish_news(news)
@@ -327,7 +329,7 @@
             stamp_ms,
             summary.overloaded,
         )
-        self._members.heard(member)
+        self._members.record_summary(member)
 
     def _summary(self) -> Summary:
         me = self._me
@@ -350,7 +352,7 @@
             for connection in list(self._connections):
                 connection.close_if_idle(now_ms)
             self._pool.sweep(self._state.knows)
-            lost, regained = self._members.turned(now_ms)
+            lost, regained = self._members.poll_changes(now_ms)
             if lost or regained:
                 self._log.event("peers changed", lost=lost, regained=regained)
 
--- a/packages/gateway/src/tamarack_gateway/containment.py
+++ b/packages/gateway/src/tamarack_gateway/request_quarantine.py
@@ -9,7 +9,7 @@
 from tamarack_core.fingerprint import fingerprint
 from tamarack_core.quarantine import FREE, Handling, Treatment
 from tamarack_core.termination_evidence import InterruptedRequest
-from tamarack_gateway.end_witness import EndWitness
+from tamarack_gateway.end_witness import TerminationDetector
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.http_messages import Request
 from tamarack_gateway.quarantine_feed import QuarantineFeed
@@ -20,7 +20,7 @@
 that crash engines do so 50 to 110 ms after they begin to run."""
 
 
-class Containment:
+class RequestQuarantine:
     """Connects one request to the quarantine.
 
     Parameters
@@ -32,7 +32,7 @@
     def __init__(
         self,
         state: FleetState,
-        witness: EndWitness,
+        detector: TerminationDetector,
         feed: QuarantineFeed,
         request: Request,
         facts: RequestFacts,
@@ -40,7 +40,7 @@
     ) -> None:
         self._state = state
         self._quarantine = state.quarantine
-        self._witness = witness
+        self._detector = detector
         self._feed = feed
         self._request = request
         self._host = facts.host
@@ -57,7 +57,7 @@
             self._workspace, self._host, request.method, request.target, request.body
         )
 
-    def look(self) -> Handling:
+    def current_handling(self) -> Handling:
         """Treatment of the request now; checked before each send and after each wait."""
         if self._handling.treatment is Treatment.TRIAL:
             # A trial is granted rarely: it stays granted while the request waits for other reasons.
@@ -70,7 +70,7 @@
             )
         return self._handling
 
-    def among(self, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
+    def allowed_endpoints(self, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
         """Those of `endpoints` that the request may be sent to; a suspect is confined to one."""
         if self._handling.treatment not in (Treatment.APART, Treatment.TRIAL) or not endpoints:
             return endpoints
@@ -109,7 +109,7 @@
         """
         early = running_ms is None or running_ms < EARLY_MS
         aboard = InterruptedRequest(self.fingerprint, self._workspace or "", early)
-        ended = await self._witness.lost(endpoint, aboard, sent_ms)
+        ended = await self._detector.lost(endpoint, aboard, sent_ms)
         self._state.log.request(
             "connection lost",
             self._attempt,
--- a/tests/test_service_shares.py
+++ b/tests/test_service_shares.py
@@ -21,7 +21,7 @@
     Service,
     ServiceShare,
 )
-from tamarack_gateway.engine_gate import EngineGate
+from tamarack_gateway.engine_admission import EngineAdmission
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.http_messages import Request
 from tamarack_gateway.outbox import Outbox, Placements, PlacementSum, Tokens
@@ -40,7 +40,7 @@
         for number in range(count):
             name = f"{service}-{number}"
             state.registry.put(Endpoint(name, service, ADDRESS, "a", 16, False), clock.now_ms)
-    state.settle_endpoints()
+    state.sync_endpoints()
     return state
 
 
@@ -50,8 +50,8 @@
     route = Route("/", "h", "/", RequestKind.STREAM, share, 4_000.0, 800.0, 2, False, True)
     facts = RequestFacts("attempt", "h", "/", None, "key", PROMPT, None)
     request = Request(b"POST", b"/", [], b"", state.clock.now_ms)
-    gate = EngineGate(state, service, request, facts, route, workspace)
-    placement = gate.place(state.usable(service), PROMPT, 4_000.0)
+    admission = EngineAdmission(state, service, request, facts, route, workspace)
+    placement = admission.place(state.usable(service), PROMPT, 4_000.0)
     assert placement is not None
     return placement.decision.admission
 
@@ -65,7 +65,7 @@
     clock = ManualClock(10_000.0)
     state = make_state(clock, busy=2, idle=2)
     flood, other = Tokens("flood", 20_000_000, 4_000_000), Tokens("other", 9_000_000, 1_000_000)
-    state.take_placements(placements_of(busy=[flood, other]))
+    state.apply_placements(placements_of(busy=[flood, other]))
     for name in ("busy-0", "busy-1"):
         state.models[name].add_peer_work(30.0, clock.now_ms)
     assert verdict(state, "busy", "flood") is Admission.REFUSED
@@ -79,8 +79,8 @@
     clock = ManualClock(10_000.0)
     state = make_state(clock, **({"pool": 1} if known else {}))
     for number in range(1_000):
-        state.take_placements(placements_of(**{f"s{number}": [Tokens("w", 10, 10)]}))
-    state.take_placements(placements_of(pool=[Tokens("w", 10, 0)]))
+        state.apply_placements(placements_of(**{f"s{number}": [Tokens("w", 10, 10)]}))
+    state.apply_placements(placements_of(pool=[Tokens("w", 10, 0)]))
     assert len(state.shares._shares) == int(known)
     state.put_rules(Ruleset(2, [], [], {}))
     assert not state.shares._shares
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -11,7 +11,7 @@
 from tamarack_core.clock import ManualClock
 from tamarack_core.relay_plan import SMALL_FLEET
 from tamarack_gateway.fleet_members import READERS, FleetMembers, Member
-from tamarack_gateway.fleet_state import KEPT_PART
+from tamarack_gateway.fleet_state import RETAINED_FRACTION
 from tamarack_gateway.site import Row, RowsPage
 from tamarack_gateway.store_client import StoreError
 from tamarack_gateway.table_follower import (
@@ -38,22 +38,22 @@
             "op",
             wait_ms=1_000.0,
             pause_ms=0.0,
-            took=self.changes.append,
-            changed=lambda what, reason: None,
+            on_change=self.changes.append,
+            on_status=lambda what, reason: None,
             reads=lambda: False,
         )
         self.follower._version = 10
 
-    def receive(self, after: int, version: int, rows: list[RowNews] | None, **more: float) -> None:
+    def deliver(self, after: int, version: int, rows: list[RowNews] | None, **more: float) -> None:
         news = TableNews("op", after, version, more.get("age_ms", 0.0), rows, {})
-        self.follower.hear(news, more.get("stamp_ms", self.clock.now_ms))
+        self.follower.receive(news, more.get("stamp_ms", self.clock.now_ms))
 
 
 def test_overlapping_messages_are_applied_once() -> None:
     listener = Listener()
-    listener.receive(10, 12, [RowNews("a", b"1", 12)])
-    listener.receive(10, 12, [RowNews("a", b"1", 12)])
-    listener.receive(11, 14, [RowNews("a", b"1", 12), RowNews("b", None, 14)])
+    listener.deliver(10, 12, [RowNews("a", b"1", 12)])
+    listener.deliver(10, 12, [RowNews("a", b"1", 12)])
+    listener.deliver(11, 14, [RowNews("a", b"1", 12), RowNews("b", None, 14)])
     assert [[row.key for row in change.rows] for change in listener.changes] == [["a"], [], ["b"]]
     assert listener.follower.version == 14
 
@@ -65,14 +65,14 @@
     were no gap.
     """
     listener = Listener()
-    listener.receive(12, 14, [RowNews("b", b"2", 14)])
+    listener.deliver(12, 14, [RowNews("b", b"2", 14)])
     assert listener.changes == []
     assert not listener.follower._listening()
 
 
 def test_rows_that_are_too_large_for_a_message_are_read_from_the_store() -> None:
     listener = Listener()
-    listener.receive(10, 12, None)
+    listener.deliver(10, 12, None)
     assert listener.changes == []
     assert not listener.follower._listening()
 
@@ -99,13 +99,13 @@
     """
     listener = Listener()
     listener.clock.advance(20_000.0)
-    listener.receive(10, 10, [], stamp_ms=100_000.0, age_ms=700.0)
+    listener.deliver(10, 10, [], stamp_ms=100_000.0, age_ms=700.0)
     assert listener.changes[0].asked_ms == 99_300.0
 
 
 def test_a_listener_without_messages_calls_the_store() -> None:
     listener = Listener()
-    listener.receive(10, 10, [])
+    listener.deliver(10, 10, [])
     assert listener.follower._listening()
     listener.clock.advance(2_200.0)
     assert not listener.follower._listening()
@@ -140,7 +140,7 @@
     listener = Listener()
     follower = listener.follower
     follower._failures = 3
-    follower.renew()
+    follower.restart_call()
     listener.clock.advance(900.0)
     follower._store_answered()
     assert follower._recovered_ms == 100_000.0
@@ -161,7 +161,7 @@
             members = FleetMembers()
             for other in everyone:
                 if other is not me:
-                    members.heard(other)
+                    members.record_summary(other)
             if members.reads("op", me, 100.0):
                 readers.append(me)
         if count <= SMALL_FLEET:
@@ -179,10 +179,10 @@
     """
     members = FleetMembers()
     first, second, me = members_of(3)
-    members.heard(first)
-    members.heard(second._replace(fresh=False))
+    members.record_summary(first)
+    members.record_summary(second._replace(fresh=False))
     assert set(members.addresses(me, "domain-1", 100.0)) == {"c0", "c2"}
-    members.heard(first._replace(fresh=False))
+    members.record_summary(first._replace(fresh=False))
     assert len(members.addresses(me._replace(fresh=False), "domain-1", 100.0)) == 3
 
 
@@ -213,12 +213,12 @@
     members = FleetMembers()
     everyone = members_of(66)
     for number, member in enumerate(everyone[1:], 1):
-        members.heard(member._replace(fresh=number % 8 == 0))
+        members.record_summary(member._replace(fresh=number % 8 == 0))
     found = members.addresses(everyone[0], "domain-0", 100.0)
     near = [m for m in everyone if m.failure_domain == "domain-0"]
     assert len(found) >= len(near)
     for number, member in enumerate(everyone[1:], 1):
-        members.heard(member._replace(fresh=number % 4 != 0 or number < 12))
+        members.record_summary(member._replace(fresh=number % 4 != 0 or number < 12))
     found = members.addresses(everyone[0], "domain-0", 100.0)
     assert len(found) >= len(near) // 2
     stale = {m.callers for n, m in enumerate(everyone[1:], 1) if n % 4 == 0 and n >= 12}
@@ -257,7 +257,7 @@
 
 def test_one_copy_serves_all_routers_that_request_it() -> None:
     listener = Listener()
-    listener.receive(10, 12, [RowNews("a", b"1", 12)])
+    listener.deliver(10, 12, [RowNews("a", b"1", 12)])
     reader = listener.follower
     reader._reads = lambda: True
     assert reader.copy(12) is None
@@ -266,8 +266,8 @@
     assert (copy.whole, copy.version, [row.key for row in copy.rows or []]) == (True, 12, ["a"])
     assert reader.copy(10) is None
     requester = Listener()
-    requester.receive(11, 12, [])
-    requester.follower.hear(copy, requester.clock.now_ms)
+    requester.deliver(11, 12, [])
+    requester.follower.receive(copy, requester.clock.now_ms)
     assert requester.follower.version == 12
     assert [change.whole for change in requester.changes] == [True]
 
@@ -291,7 +291,7 @@
         listener.follower._client = cast(Any, store)
         step = asyncio.ensure_future(listener.follower._call_store())
         await asyncio.sleep(0)
-        listener.receive(10, 12, [RowNews("e", b"draining", 12)])
+        listener.deliver(10, 12, [RowNews("e", b"draining", 12)])
         store.answer.set_result(RowsPage([Row("op", "e", b"ready", 11)], 11, False))
         await step
         applied = {row.key: row.value for change in listener.changes for row in change.rows}
@@ -316,7 +316,7 @@
         await listener.follower._store_failed(StoreError("status 503"))
         assert [want.after for want in wanted] == [0]
         copy = TableNews("op", 0, 12, 0.0, [RowNews("a", b"1", 12)], {}, whole=True)
-        listener.follower.hear(copy, listener.clock.now_ms)
+        listener.follower.receive(copy, listener.clock.now_ms)
         assert listener.follower.version == 12
 
     play(scenario())
@@ -333,10 +333,10 @@
         return Member("r", boot, "d", "127.0.0.1:1", True, heard_ms)
 
     members = FleetMembers()
-    members.heard(summary(2_000, 0.0))
-    assert not members.heard(summary(1_000, 100.0))
+    members.record_summary(summary(2_000, 0.0))
+    assert not members.record_summary(summary(1_000, 100.0))
     for at_ms in range(250, 6_000, 250):
-        members.heard(summary(1_000, float(at_ms)))
+        members.record_summary(summary(1_000, float(at_ms)))
     assert [member.boot for member in members.live(6_000.0)] == [1_000]
 
 
@@ -349,6 +349,8 @@
     async def scenario() -> None:
         workers = {"pool": [PlatformWorker("e1", Script(events=1))]}
         async with Fleet(workers, drain_ms=drain_ms) as fleet:
-            assert fleet.gateway._feeds._followers["servers"]._wait_ms < KEPT_PART * drain_ms
+            assert (
+                fleet.gateway._feeds._followers["servers"]._wait_ms < RETAINED_FRACTION * drain_ms
+            )
 
     play(scenario())
