--- a/packages/ctl/src/tamarack_ctl/changing.py
+++ b/packages/ctl/src/tamarack_ctl/change_commands.py
@@ -6,7 +6,7 @@
 import hashlib
 from pathlib import Path
 
-from tamarack_ctl.commands import Context, Outcome, add_timeout, command, in_force
+from tamarack_ctl.commands import Context, Outcome, add_timeout, command, wait_in_force
 from tamarack_ctl.configuration_file import KINDS, difference, read_file
 from tamarack_ctl.key_files import new_certificate, new_fleet_keys, new_workspace_key
 
@@ -37,7 +37,7 @@
     if arguments.dry_run:
         value = {"version": version, "dry_run": True, "difference": lines}
         return Outcome([*lines, "The change is valid; nothing was changed."], value)
-    return in_force(context, version, "Accepted.")
+    return wait_in_force(context, version, "Accepted.")
 
 
 def _preset_arguments(parser: argparse.ArgumentParser) -> None:
@@ -53,7 +53,7 @@
     if context.arguments.action == "show" or name is None:
         value = context.admin.call("GET", "preset")
         return Outcome([f"preset {value['preset']}, version {value['version']}"], value)
-    return in_force(context, context.admin.switch_preset(name), f"Preset {name}.")
+    return wait_in_force(context, context.admin.switch_preset(name), f"Preset {name}.")
 
 
 def _drain_arguments(parser: argparse.ArgumentParser) -> None:
@@ -69,7 +69,7 @@
     method = "DELETE" if arguments.undo else "PUT"
     version = int(context.admin.call(method, f"drain/{arguments.endpoint}")["version"])
     effect = "takes work again" if arguments.undo else "takes no new work"
-    return in_force(context, version, f"{arguments.endpoint} {effect}.")
+    return wait_in_force(context, version, f"{arguments.endpoint} {effect}.")
 
 
 def _roll_arguments(parser: argparse.ArgumentParser) -> None:
@@ -82,7 +82,7 @@
     """Commit an earlier version's content as a new version."""
     path = f"roll-forward/{context.arguments.version}"
     version = int(context.admin.call("POST", path)["version"])
-    return in_force(
+    return wait_in_force(
         context, version, f"Committed the content of version {context.arguments.version}."
     )
 
@@ -102,7 +102,7 @@
     body = {**current["entry"], "key_hashes": [*current["entry"]["key_hashes"], key_hash]}
     put = {"kind": "workspace", "name": name, "body": body}
     version = context.admin.change([put], if_match=current["version"])
-    outcome = in_force(context, version, f"Key of {name}, shown once: {key}")
+    outcome = wait_in_force(context, version, f"Key of {name}, shown once: {key}")
     return outcome._replace(value={**outcome.value, "workspace": name, "key": key})
 
 
--- a/packages/ctl/src/tamarack_ctl/commands.py
+++ b/packages/ctl/src/tamarack_ctl/commands.py
@@ -82,7 +82,7 @@
     )
 
 
-def in_force(context: Context, version: int, done: str) -> Outcome:
+def wait_in_force(context: Context, version: int, done: str) -> Outcome:
     """Wait until a version is in force everywhere; list the routers that lag."""
     lagging = context.admin.wait_in_force(version, context.arguments.timeout)
     value = {"version": version, "lagging": lagging.routers}
--- a/packages/ctl/src/tamarack_ctl/configuration_file.py
+++ b/packages/ctl/src/tamarack_ctl/configuration_file.py
@@ -21,7 +21,7 @@
         self.faults = faults
 
 
-class Wanted(NamedTuple):
+class RequestedChanges(NamedTuple):
     """The changes that a file requests."""
 
     puts: list[dict[str, Any]]
@@ -29,7 +29,7 @@
     preset: str | None
 
 
-def read_file(path: str) -> Wanted:
+def read_file(path: str) -> RequestedChanges:
     """Read a file; `in_force` names the preset, `delete` lists `KIND/NAME`."""
     try:
         text = Path(path).read_text()
@@ -42,7 +42,7 @@
     return _changes(content)
 
 
-def _changes(content: dict[str, Any]) -> Wanted:
+def _changes(content: dict[str, Any]) -> RequestedChanges:
     faults = []
     puts = []
     deletes = []
@@ -57,10 +57,10 @@
             faults.append(f"{key}: expected one of {', '.join((*KINDS, DELETE, IN_FORCE))}")
     if faults:
         raise FileError(faults)
-    return Wanted(puts, deletes, content.get(IN_FORCE))
+    return RequestedChanges(puts, deletes, content.get(IN_FORCE))
 
 
-def difference(current: dict[str, dict[str, Any]], wanted: Wanted) -> list[str]:
+def difference(current: dict[str, dict[str, Any]], wanted: RequestedChanges) -> list[str]:
     """Lines that show what would change, as in a unified diff."""
     lines: list[str] = []
     for put in wanted.puts:
--- a/packages/ctl/src/tamarack_ctl/main.py
+++ b/packages/ctl/src/tamarack_ctl/main.py
@@ -9,11 +9,11 @@
 
 from tamarack_client import AdminClient, AdminError
 from tamarack_ctl import (
-    changing,
-    explaining,
-    prompt_reads,
+    change_commands,
+    prefill_causes,
     quarantine_view,
-    reading,
+    read_commands,
+    request_log,
     router_view,
     workspace_service,
 )
@@ -32,10 +32,10 @@
 OPERATOR = "TAMARACK_OPERATOR"
 CA_CERTIFICATES = "TAMARACK_CA"
 MODULES = (
-    reading,
-    changing,
-    explaining,
-    prompt_reads,
+    read_commands,
+    change_commands,
+    request_log,
+    prefill_causes,
     router_view,
     quarantine_view,
     workspace_service,
--- a/packages/ctl/src/tamarack_ctl/explaining.py
+++ b/packages/ctl/src/tamarack_ctl/request_log.py
@@ -10,7 +10,7 @@
 
 from tamarack_ctl.commands import EXIT_OK, EXIT_REFUSED, Context, Outcome, command
 
-BELIEF_MS = 10_000
+STATE_LINES_MS = 10_000
 """Milliseconds before a request's first line from which its router's local state is shown."""
 
 HIDDEN = frozenset(("at_ms", "wall_ms", "router", "message", "request"))
@@ -34,7 +34,7 @@
         """Wall-clock time, by which lines of several routers are ordered."""
         return int(self.fields.get("wall_ms", self.at_ms))
 
-    def told(self, since_ms: int) -> str:
+    def formatted(self, since_ms: int) -> str:
         """Format the line for people, with its time relative to `since_ms`."""
         values = ", ".join(f"{k} {v}" for k, v in self.fields.items() if k not in HIDDEN)
         return f"{self.at_ms - since_ms:+8} ms  {self.router}  {self.message}  {values}".rstrip()
@@ -67,7 +67,7 @@
     return lines
 
 
-def story(lines: list[LogLine], request: str) -> list[str]:
+def request_lines(lines: list[LogLine], request: str) -> list[str]:
     """Format a request's lines, and those on its router's local state around that time."""
     own = [line for line in lines if line.request == request]
     if not own:
@@ -78,10 +78,10 @@
         for line in lines
         if line.router == first.router
         and not line.request
-        and first.at_ms - BELIEF_MS <= line.at_ms <= last.at_ms
+        and first.at_ms - STATE_LINES_MS <= line.at_ms <= last.at_ms
     ]
     shown = sorted([*state_lines, *own], key=lambda line: line.at_ms)
-    return [line.told(first.at_ms) for line in shown]
+    return [line.formatted(first.at_ms) for line in shown]
 
 
 def _configure(parser: argparse.ArgumentParser) -> None:
@@ -93,7 +93,7 @@
 def explain(context: Context) -> Outcome:
     """Read logs and show what happened to a request."""
     lines = read_logs(context.arguments.logs)
-    shown = story(lines, context.arguments.request)
+    shown = request_lines(lines, context.arguments.request)
     if not shown:
         return Outcome(["No log line mentions this request."], [], EXIT_REFUSED)
     return Outcome(shown, shown, EXIT_OK)
--- a/packages/ctl/src/tamarack_ctl/workspace_service.py
+++ b/packages/ctl/src/tamarack_ctl/workspace_service.py
@@ -9,7 +9,7 @@
 
 from tamarack_core.admission import FREE_ENGINE
 from tamarack_ctl.commands import EXIT_OK, EXIT_REFUSED, Context, Outcome, command
-from tamarack_ctl.explaining import LogLine, add_logs, read_logs
+from tamarack_ctl.request_log import LogLine, add_logs, read_logs
 
 
 class WorkspaceService(TypedDict):
--- a/tests/test_prompt_reads.py
+++ b/tests/test_prefill_causes.py
@@ -10,8 +10,8 @@
 from tamarack_ctl.main import main
 
 
-def placed(at_ms: int, endpoint: str, *, read: bool, part: str = "m/p") -> str:
-    shared = [[part, 1_000, read]]
+def placed(at_ms: int, endpoint: str, *, prefilled: bool, part: str = "m/p") -> str:
+    shared = [[part, 1_000, prefilled]]
     return _line(at_ms, "request: placed", request="x", endpoint=endpoint, shared=shared)
 
 
@@ -26,15 +26,15 @@
     log.write_text(
         "\n".join(
             (
-                placed(0, "a", read=True),
-                placed(100, "b", read=True),
-                placed(1_000, "a", read=False),
-                placed(2_000, "c", read=True),
-                placed(3_000, "c", read=True),
+                placed(0, "a", prefilled=True),
+                placed(100, "b", prefilled=True),
+                placed(1_000, "a", prefilled=False),
+                placed(2_000, "c", prefilled=True),
+                placed(3_000, "c", prefilled=True),
                 _line(4_000, "belief: endpoint gone", endpoint="e"),
-                placed(30_000, "a", read=True),
-                placed(3_500, "e", read=True, part="m/q"),
-                placed(5_000, "f", read=True, part="m/q"),
+                placed(30_000, "a", prefilled=True),
+                placed(3_500, "e", prefilled=True, part="m/q"),
+                placed(5_000, "f", prefilled=True, part="m/q"),
                 _line(50, "request: refused", least_wait_ms=3),
                 _line(60, "request: refused", least_wait_ms=90),
                 _line(70, "request: refused"),
