--- a/packages/bench/src/tamarack_bench/load.py
+++ b/packages/bench/src/tamarack_bench/load.py
@@ -101,7 +101,7 @@
             random.Random(f"{seed}/{plan.workspace}").shuffle(seeds)
             client = Client(seeds, keys[plan.workspace], silence_s=4.0)
             if pinned and plan.workspace in pinned:
-                client.book.pin(pinned[plan.workspace])
+                client.address_book.pin(pinned[plan.workspace])
             self._clients[plan.workspace] = client
             for number in range(plan.callers):
                 rng = random.Random(f"{seed}/{plan.workspace}/{number}")
--- a/packages/client/src/tamarack_client/address_book.py
+++ b/packages/client/src/tamarack_client/address_book.py
@@ -15,14 +15,14 @@
 
 
 class Addresses(NamedTuple):
-    """One answer: addresses in order of preference, valid until `good_until` (monotonic seconds).
+    """One answer: addresses in order of preference, used until `valid_until` (monotonic seconds).
 
     `keeper_token` names the key owner; idempotency keys that the client makes begin with it.
     """
 
     addresses: list[str]
     keeper_token: str
-    good_until: float
+    valid_until: float
 
 
 class NoRouterError(Exception):
@@ -55,7 +55,7 @@
     def current(self) -> Addresses:
         """The cached answer, queried again if it has expired."""
         with self._lock:
-            if time.monotonic() >= self._current.good_until or not self._current.addresses:
+            if time.monotonic() >= self._current.valid_until or not self._current.addresses:
                 self._refresh()
             return self._current
 
@@ -70,12 +70,12 @@
         """Record that an address failed, and invalidate the answer that listed it."""
         with self._lock:
             self._avoid_until[address] = time.monotonic() + AVOID_S
-            self._current = self._current._replace(good_until=0.0)
+            self._current = self._current._replace(valid_until=0.0)
 
     def renew(self) -> None:
         """Invalidate the answer, so that the next use queries again."""
         with self._lock:
-            self._current = self._current._replace(good_until=0.0)
+            self._current = self._current._replace(valid_until=0.0)
 
     def _refresh(self) -> None:
         now = time.monotonic()
@@ -102,5 +102,5 @@
             return None
         if not body["addresses"]:
             return None
-        good_until = time.monotonic() + body["ttl_ms"] / 1000
-        return Addresses(body["addresses"], body["keeper_token"], good_until)
+        valid_until = time.monotonic() + body["ttl_ms"] / 1000
+        return Addresses(body["addresses"], body["keeper_token"], valid_until)
--- a/packages/client/src/tamarack_client/client.py
+++ b/packages/client/src/tamarack_client/client.py
@@ -86,7 +86,7 @@
             timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=silence_s),
             **options,
         )
-        self._book = AddressBook(self._http, addresses, key, scheme)
+        self._address_book = AddressBook(self._http, addresses, key, scheme)
 
     def __enter__(self) -> Client:
         return self
@@ -171,7 +171,7 @@
 
     def state(self, request_id: str) -> dict[str, Any]:
         """State of a request, from the first router that returns it."""
-        for address in self._book.ordered():
+        for address in self._address_book.ordered():
             attempt = self.send(address, "GET", f"/v1/requests/{request_id}", None, {})
             if attempt.response is not None and attempt.response.status == 200:
                 state: dict[str, Any] = json.loads(attempt.response.data)
@@ -195,9 +195,9 @@
         return _Attempt(response, True)
 
     @property
-    def book(self) -> AddressBook:
+    def address_book(self) -> AddressBook:
         """The addresses in use."""
-        return self._book
+        return self._address_book
 
 
 class _Exchange:
@@ -229,7 +229,7 @@
     def open(self) -> BaseHTTPResponse:
         """Send until a router returns an answer that is not a refusal."""
         while True:
-            for address in self._client.book.ordered():
+            for address in self._client.address_book.ordered():
                 response = self._try(address)
                 if response is not None:
                     return response
@@ -243,7 +243,7 @@
         if time.monotonic() >= self.deadline:
             self._give_up()
         self._maybe_received = True
-        self._client.book.renew()
+        self._client.address_book.renew()
 
     def _try(self, address: str) -> BaseHTTPResponse | None:
         remaining_ms = int((self.deadline - time.monotonic()) * 1000)
@@ -255,7 +255,7 @@
         )
         response = attempt.response
         if response is None:
-            self._client.book.failed(address)
+            self._client.address_book.failed(address)
             self._maybe_received = self._maybe_received or attempt.maybe_received
             return None
         if response.headers.get("Tamarack-Outcome", "ran") == "ran":
@@ -265,7 +265,7 @@
 
     def _request_headers(self, remaining_ms: int) -> dict[str, str]:
         if self._key is None:
-            self._key = f"{self._client.book.current().keeper_token}.{secrets.token_hex(8)}"
+            self._key = f"{self._client.address_book.current().keeper_token}.{secrets.token_hex(8)}"
         headers = {
             **self._headers,
             "Idempotency-Key": self._key,
@@ -287,12 +287,12 @@
         if not retry_after_ms:
             raise self._last_refusal
         if code in ("leaving", "isolated", "not_ready"):
-            self._client.book.failed(address)
+            self._client.address_book.failed(address)
             return
         if code == "keeper_gone" and self._given_key is None:
             # Nothing ran under this key, so a new one is safe.
             self._key = None
-            self._client.book.renew()
+            self._client.address_book.renew()
         self._pause(min(MAX_PAUSE_S, retry_after_ms / 1000))
 
     def _pause(self, seconds: float) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -497,7 +497,7 @@
     fleet.start_router("leaver", fleet.deployment.failure_domains[0])
     fleet.wait_ready(["leaver"])
     client = Client([fleet.routers["leaver"].address], fleet.keys[workspace])
-    client.book.pin([fleet.routers["leaver"].address])
+    client.address_book.pin([fleet.routers["leaver"].address])
     body = {"model": MODEL, "prompt": "x", "stream": True, "standin_tokens": 300}
     stream = client.call_stream("POST", "/v1/completions", body)
     data = next(stream)
@@ -515,7 +515,7 @@
     fleet.wait_ready(["victim"])
     client = Client(fleet.addresses, fleet.keys[workspace])
     others = [r.address for r in fleet.routers.values() if r.router not in ("victim", "leaver")]
-    client.book.pin([fleet.routers["victim"].address, *others])
+    client.address_book.pin([fleet.routers["victim"].address, *others])
     headers = {"Authorization": f"Bearer {fleet.keys[workspace]}"}
     url = f"http://{others[0]}/v1/addresses"
     token = json.loads(http.request("GET", url, headers=headers).data)["keeper_token"]
