--- a/tests/test_callers_who_left.py
+++ b/tests/test_callers_who_left.py
@@ -56,7 +56,7 @@
     order alone causes the failure, without any load.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         web = PlatformWorker("w1")
         async with Fleet({"web": [web]}) as fleet:
             router = fleet.gateway
@@ -69,7 +69,7 @@
             assert (await fleet.ask("/page/stays")).status == 200
             assert [a.target for a in web.arrived] == ["/page/kept", "/page/stays"]
 
-    play(run())
+    play(scenario())
 
 
 def test_a_queued_request_whose_caller_has_left_is_not_sent(
@@ -81,7 +81,7 @@
     task is ready before the close is read.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         engine = PlatformWorker("e1", STREAM)
         async with Fleet({"pool": [engine]}) as fleet:
             assert (await fleet.ask("/draft/1")).status == 200
@@ -100,7 +100,7 @@
             assert (await fleet.ask("/draft/3")).status == 200
             assert [a.target for a in engine.arrived] == ["/draft/1", "/draft/3"]
 
-    play(run())
+    play(scenario())
 
 
 def test_a_request_is_not_retried_for_a_caller_that_has_left(
@@ -112,7 +112,7 @@
     reads that answer. The retry is sent before the close is read.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         workers = [PlatformWorker(name) for name in ("w1", "w2")]
         async with Fleet({"web": workers}) as fleet:
             records = fleet.gateway.state.records
@@ -138,7 +138,7 @@
             await asyncio.sleep(DELIVERED_S)
             assert sum(len(worker.arrived) for worker in workers) == 1
 
-    play(run())
+    play(scenario())
 
 
 def test_returning_an_unused_connection_does_not_reset_its_idle_time() -> None:
@@ -149,7 +149,7 @@
     the endpoint closes it.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         web = PlatformWorker("w1")
         async with Fleet({"web": [web]}) as fleet:
             assert (await fleet.ask("/page/1")).status == 200
@@ -161,7 +161,7 @@
             assert list(pool._idle.values()) == [[idle]]
             assert idle.idle_since_ms == idle_since_ms
 
-    play(run())
+    play(scenario())
 
 
 def overload(router: Gateway, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -197,7 +197,7 @@
     requests were cut without an answer at one router, and 6 once it answered.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         web = PlatformWorker("w1")
         async with Fleet({"web": [web]}) as fleet, fleet.router("router-2") as router:
             other = fleet.gateway
@@ -224,7 +224,7 @@
                 writer.close()
             assert not web.arrived
 
-    play(run())
+    play(scenario())
 
 
 def test_all_routers_are_listed_when_most_are_overloaded() -> None:
@@ -258,7 +258,7 @@
         lengths.append(backlog)
         listen(self, backlog)
 
-    async def run() -> None:
+    async def scenario() -> None:
         web = PlatformWorker("w1")
         async with Fleet({"web": [web]}) as fleet:
             lengths.clear()
@@ -268,7 +268,7 @@
                 assert (await fleet.ask("/page/1", at=router)).status == 200
 
     monkeypatch.setattr(socket.socket, "listen", record_length)
-    play(run())
+    play(scenario())
 
 
 def test_connections_accepted_in_one_iteration_are_bounded() -> None:
@@ -278,7 +278,7 @@
     iteration as its queue holds, the work of all of them is done before the next read.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         async with Fleet({"web": [PlatformWorker("w1")]}) as fleet:
             host, _, port = fleet.gateway.callers.rpartition(":")
             waiting = 3 * ACCEPTS
@@ -292,4 +292,4 @@
             for caller in callers:
                 caller.close()
 
-    play(run())
+    play(scenario())
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -177,7 +177,7 @@
 ) -> None:
     """Failure: a workspace that shares a router with a large one is refused equally often."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         engine = PlatformWorker("e1", Script(events=3))
         engine.answering.clear()
         keys = [{"name": name, "apiKeys": [f"key-{name}"]} for name in ("large", "small")]
@@ -199,13 +199,13 @@
             engine.answering.set()
             assert [(await answer).status for answer in taken] == [200, 200, 200]
 
-    play(story())
+    play(scenario())
 
 
 def test_a_request_beyond_the_limit_is_refused_at_once_and_not_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         engine = PlatformWorker("e1", Script(events=3))
         engine.answering.clear()
         async with Fleet({"pool": [engine]}) as fleet:
@@ -228,4 +228,4 @@
             assert (await read_answer(reader)).status == 200
             writer.close()
 
-    play(story())
+    play(scenario())
--- a/tests/test_endpoint_lives.py
+++ b/tests/test_endpoint_lives.py
@@ -90,11 +90,11 @@
     unreadable.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         async with Fleet({"web": [PlatformWorker("w1", born=None)]}) as fleet:
             assert (await fleet.ask("/page/1")).status == 200
 
-    play(run())
+    play(scenario())
 
 
 # local state
@@ -107,7 +107,7 @@
     the name alone.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         engine = PlatformWorker("e1", STREAM)
         async with Fleet({"pool": [engine]}) as fleet:
             state = fleet.gateway.state
@@ -123,7 +123,7 @@
             assert (model.wait_ms(now_ms), model.pace(now_ms)) == (0.0, 1.0)
             assert (record.failures(now_ms), record.outstanding) == (0.0, 0)
 
-    play(run())
+    play(scenario())
 
 
 def test_messages_of_routers_apply_to_their_incarnation_only() -> None:
@@ -134,7 +134,7 @@
     alone.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         engine = PlatformWorker("e1", STREAM)
         async with Fleet({"pool": [engine]}) as fleet:
             state = fleet.gateway.state
@@ -152,11 +152,11 @@
             assert not is_applied(None)
             assert is_applied(NEXT_BORN_MS)
 
-    play(run())
+    play(scenario())
 
 
 def test_a_router_publishes_the_incarnation_that_it_sent_to() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         engine = PlatformWorker("e1", STREAM)
         async with Fleet({"pool": [engine]}) as fleet:
             outgoing: list[Placements] = []
@@ -175,7 +175,7 @@
             published = {each.key for p in outgoing for each in (*p.placed, *p.seen)}
             assert published == {("e1", NEXT_BORN_MS)}
 
-    play(run())
+    play(scenario())
 
 
 def test_a_send_to_the_former_incarnation_does_not_change_the_next() -> None:
@@ -185,7 +185,7 @@
     one's connection breaks. The end of a send must not be recorded by the endpoint's name.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         first, second = (
             PlatformWorker("w1", Script(reset=True)),
             PlatformWorker("w1", born=NEXT_BORN_MS),
@@ -205,7 +205,7 @@
             second.answering.set()
             assert (await new).status == 200
 
-    play(run())
+    play(scenario())
 
 
 def test_connections_to_the_former_incarnation_are_not_reused() -> None:
@@ -215,7 +215,7 @@
     connections must not be keyed by the address alone.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         worker = PlatformWorker("w1")
         async with Fleet({"web": [worker]}) as fleet, FaultProxy(worker.address) as link:
             await restart(fleet, worker, "web", address=link.address)
@@ -227,7 +227,7 @@
             assert (await fleet.ask("/page/2")).status == 200
             await until(lambda: not fleet.gateway._pool.idle(("w1", NEXT_BORN_MS)))
 
-    play(run())
+    play(scenario())
 
 
 def test_the_cache_content_of_another_incarnation_is_ignored() -> None:
@@ -237,7 +237,7 @@
     The answer is from another incarnation and must not be applied by the engine's name.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         other, same = PlatformWorker("e1", STREAM), PlatformWorker("e2", STREAM)
         other.kept = same.kept = [("aa", 200)]
         async with Fleet({"pool": [other, same]}) as fleet:
@@ -248,7 +248,7 @@
                 await until(lambda: router._inventory.done)
                 assert not router.state.models["e1"].keeps(PART)
 
-    play(run())
+    play(scenario())
 
 
 # requests that run while an incarnation ends
@@ -290,22 +290,22 @@
     know the request and would not reject it.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         with incarnations(script) as (first, second):
             assert (await ask_during_restart(path, service, first, second)).status == 502
             assert len(second.arrived) == 0
 
-    play(run())
+    play(scenario())
 
 
 def test_a_stream_that_began_in_the_former_incarnation_is_cut() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         with incarnations(Script(events=5, cut_after=2)) as (first, second):
             answer = await ask_during_restart("/rewrite/1", "pool", first, second)
             assert (answer.status, answer.whole) == (200, False)
             assert len(second.arrived) == 0
 
-    play(run())
+    play(scenario())
 
 
 def test_an_idempotent_request_is_retried_at_the_next_incarnation() -> None:
@@ -315,16 +315,16 @@
     name alone.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         with incarnations(Script(reset=True)) as (first, second):
             assert (await ask_during_restart("/search/1", "web", first, second)).status == 200
             assert len(second.arrived) == 1
 
-    play(run())
+    play(scenario())
 
 
 def test_a_resumable_stream_resumes_at_the_next_incarnation() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         with incarnations(Script(events=5, cut_after=2)) as (first, second):
             answer = await ask_during_restart("/draft/1", "pool", first, second)
             assert (answer.status, answer.whole) == (200, True)
@@ -333,7 +333,7 @@
             ]
             assert second.arrived[0].headers["last-event-id"] == "2"
 
-    play(run())
+    play(scenario())
 
 
 # services that are unknown at first, or change
@@ -346,7 +346,7 @@
     cache size of the service's engines. The size must not be fixed when the engine is first seen.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         engine = PlatformWorker("e1", STREAM)
         async with Fleet({"later": [engine]}) as fleet:
             state = fleet.gateway.state
@@ -365,4 +365,4 @@
             assert (await fleet.ask("/draft/1")).status == 200
             assert state.models["e1"].keeps(PART)
 
-    play(run())
+    play(scenario())
--- a/tests/test_event_relay.py
+++ b/tests/test_event_relay.py
@@ -105,7 +105,7 @@
 
 
 def test_events_are_written_in_the_callback_that_reads_them() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         stream = Streaming()
         stream.receive(event(0))
         await asyncio.sleep(0)
@@ -121,7 +121,7 @@
         assert stream.to_caller.written.endswith(END)
         assert stream.firsts == 1
 
-    play(run())
+    play(scenario())
 
 
 def test_reading_from_an_engine_pauses_for_a_slow_caller() -> None:
@@ -130,7 +130,7 @@
     The engine keeps streaming, and its events are buffered in the router without limit.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         stream = Streaming()
         await asyncio.sleep(0)
         stream.caller.pause_writing()
@@ -141,7 +141,7 @@
         assert stream.to_engine.reading
         stream.whole.cancel()
 
-    play(run())
+    play(scenario())
 
 
 def test_a_connection_paused_by_the_last_event_resumes_when_reused() -> None:
@@ -151,7 +151,7 @@
     the connection is returned to the pool, but nothing resumes reading.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         stream = Streaming()
         await asyncio.sleep(0)
         stream.caller.pause_writing()
@@ -161,11 +161,11 @@
         assert stream.engine.finish(0.0)
         assert stream.to_engine.reading
 
-    play(run())
+    play(scenario())
 
 
 def test_stream_errors_are_raised_to_the_waiting_task() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         gap = Streaming()
         gap.receive(event(0))
         await asyncio.sleep(0)
@@ -185,4 +185,4 @@
         with pytest.raises(BrokenAnswerError):
             incomplete.relay.end()
 
-    play(run())
+    play(scenario())
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -31,7 +31,7 @@
 
 
 def test_a_request_is_answered_by_its_service() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         web, pool = PlatformWorker("w1"), PlatformWorker("e1", STREAM)
         async with Fleet({"web": [web], "pool": [pool]}) as fleet:
             page = await fleet.ask("/page/1?q=2")
@@ -46,7 +46,7 @@
             assert "authorization" not in arrived
             assert 0 < int(arrived["x-deadline-ms"]) <= 4000
 
-    play(run())
+    play(scenario())
 
 
 def test_router_headers_from_callers_are_dropped() -> None:
@@ -55,14 +55,14 @@
     A caller sends headers that only routers may set; they must not be passed on.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         web = PlatformWorker("w1")
         async with Fleet({"web": [web]}) as fleet:
             await fleet.ask("/page/1", X_Tenant="other", X_Hold="h", Kv_From="1.2.3.4:5/x")
             arrived = web.arrived[0].headers
             assert not {"x-tenant", "x-hold", "kv-from"} & arrived.keys()
 
-    play(run())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
     worker parse it differently (request smuggling).
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         web = PlatformWorker("w1")
         async with Fleet({"web": [web]}) as fleet:
             raw = f"POST /page/1 HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: a\r\n{head}\r\n\r\nabc"
@@ -91,7 +91,7 @@
             assert answer.status == 400
             assert not web.arrived
 
-    play(run())
+    play(scenario())
 
 
 def test_a_caller_reads_the_refusal_of_a_too_long_body() -> None:
@@ -101,12 +101,12 @@
     connection, and the caller never reads the answer.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         async with Fleet({"web": [PlatformWorker("w1")]}) as fleet:
             answer = await fleet.ask("/page/1", body=b"x" * 400_000)
             assert answer.status == 413
 
-    play(run())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
@@ -127,23 +127,23 @@
     neither be retried nor be refused as not run.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         web, other = PlatformWorker("w1", script), PlatformWorker("w2", script)
         async with Fleet({"web": [web, other]}) as fleet:
             answer = await fleet.ask("/page/1")
             assert answer.status == 502
             assert len(web.arrived) + len(other.arrived) == 1
 
-    play(run())
+    play(scenario())
 
 
 def test_an_answer_without_a_length_ends_with_an_orderly_close() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         async with Fleet({"web": [PlatformWorker("w1", Script(unframed=True))]}) as fleet:
             answer = await fleet.ask("/page/1")
             assert (answer.status, answer.body) == (200, b"hello")
 
-    play(run())
+    play(scenario())
 
 
 def test_bytes_after_an_answer_belong_to_no_request() -> None:
@@ -154,25 +154,25 @@
     """
     extra = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: stray\r\ncontent-length: 5\r\n\r\nwrong"
 
-    async def run() -> None:
+    async def scenario() -> None:
         web = PlatformWorker("w1", Script(extra=extra), Script())
         async with Fleet({"web": [web]}) as fleet:
             first, second = await fleet.ask("/page/1"), await fleet.ask("/page/2")
             assert (first.body, second.body) == (b"hello", b"hello")
             assert web.connections == 2
 
-    play(run())
+    play(scenario())
 
 
 def test_a_request_that_a_worker_rejects_is_refused_as_not_run() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         shed = Script(status=503, not_run=True, body=b"")
         async with Fleet({"web": [PlatformWorker("w1", shed)]}) as fleet:
             answer = await fleet.ask("/page/1")
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
 
-    play(run())
+    play(scenario())
 
 
 def test_a_503_that_may_have_run_is_not_passed_on() -> None:
@@ -182,21 +182,21 @@
     caller the status alone would mean that.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         async with Fleet({"web": [PlatformWorker("w1", Script(status=503))]}) as fleet:
             assert (await fleet.ask("/page/1")).status == 502
 
-    play(run())
+    play(scenario())
 
 
 def test_an_idempotent_request_is_retried_at_another_endpoint() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         bad, good = PlatformWorker("w1", Script(status=500)), PlatformWorker("w2")
         async with Fleet({"web": [bad, good]}) as fleet:
             answers = [await fleet.ask("/search/1", method="GET", body=b"") for _ in range(3)]
             assert [answer.status for answer in answers] == [200, 200, 200]
 
-    play(run())
+    play(scenario())
 
 
 def test_an_early_answer_to_a_long_body_does_not_corrupt_the_next_request() -> None:
@@ -206,7 +206,7 @@
     next request must not be written before the rest of that body.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         web = PlatformWorker("w1", Script(early=True))
         async with Fleet({"web": [web]}) as fleet:
             bodies = [bytes([65 + number]) * 90_000 for number in range(4)]
@@ -215,7 +215,7 @@
             await until(lambda: len(web.arrived) == len(bodies))
             assert [arrived.body for arrived in web.arrived] == bodies
 
-    play(run())
+    play(scenario())
 
 
 def test_an_idempotent_request_is_retried_when_its_endpoint_is_silent() -> None:
@@ -225,7 +225,7 @@
     not wait for that endpoint alone.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         silent = [PlatformWorker(name) for name in ("w1", "w2")]
         silent[0]._scripts = silent[1]._scripts = [Script(silent=True), Script()]
         async with Fleet({"web": silent}) as fleet:
@@ -233,7 +233,7 @@
             assert answer.status == 200
             assert sum(len(worker.arrived) for worker in silent) == 2
 
-    play(run())
+    play(scenario())
 
 
 def test_a_stream_that_stops_resumes_at_another_engine(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -243,7 +243,7 @@
     reset, which never arrives.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         from tamarack_gateway import patience
 
         monkeypatch.setattr(patience, "FIRST_EVENT_SLACK_MS", 100.0)
@@ -254,7 +254,7 @@
             assert (answer.status, answer.whole) == (200, True)
             await until(lambda: sum(engine.closed_early for engine in engines) == 1)
 
-    play(run())
+    play(scenario())
 
 
 def test_a_broken_stream_resumes_at_another_worker() -> None:
@@ -264,7 +264,7 @@
     the second worker must not start from the beginning.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         script = Script(events=5, cut_after=2)
         workers = [PlatformWorker("e1", script, STREAM), PlatformWorker("e2", script, STREAM)]
         workers[0]._scripts = workers[1]._scripts = [script, STREAM]
@@ -276,11 +276,11 @@
             arrived = [arrival for worker in workers for arrival in worker.arrived]
             assert [a.headers.get("last-event-id") for a in arrived] in ([None, "2"], ["2", None])
 
-    play(run())
+    play(scenario())
 
 
 def test_a_stream_that_may_not_resume_is_cut_detectably() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         workers = [PlatformWorker(name, Script(events=5, cut_after=2)) for name in ("e1", "e2")]
         async with Fleet({"pool": workers}) as fleet:
             answer = await fleet.ask("/rewrite/1")
@@ -288,7 +288,7 @@
             assert answer.body.endswith(b"\n\n")
             assert sum(len(worker.arrived) for worker in workers) == 1
 
-    play(run())
+    play(scenario())
 
 
 def test_an_endpoint_stops_when_its_caller_has_gone() -> None:
@@ -298,7 +298,7 @@
     well.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         pool = PlatformWorker("e1", Script(silent=True))
         async with Fleet({"pool": [pool]}) as fleet:
             _, writer = await connect(fleet.gateway.callers)
@@ -307,27 +307,27 @@
             writer.close()
             await until(lambda: pool.closed_early == 1)
 
-    play(run())
+    play(scenario())
 
 
 def test_a_request_gets_its_final_answer_at_the_routes_time_limit() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         pool = PlatformWorker("e1", Script(silent=True))
         async with Fleet({"pool": [pool]}) as fleet:
             answer = await fleet.ask("/rewrite/1", X_Deadline_Ms="120")
             assert answer.status == 504
 
-    play(run())
+    play(scenario())
 
 
 def test_unknown_keys_and_routes_are_denied() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             wrong = await fleet.ask("/rewrite/1", Authorization="Token wrong")
             nowhere = await fleet.ask("/nowhere/1")
             assert (wrong.status, nowhere.status) == (401, 404)
 
-    play(run())
+    play(scenario())
 
 
 def test_keys_expire_while_the_store_is_unreachable() -> None:
@@ -337,7 +337,7 @@
     trust its local state for longer. Routes without a key are still served.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         workers = {"web": [PlatformWorker("w1")], "pool": [PlatformWorker("e1", STREAM)]}
         async with Fleet(workers, revoke_ms=900.0) as fleet:
             fleet.store.silent = True
@@ -346,11 +346,11 @@
             assert (await fleet.ask("/draft/1")).status == 503
             assert (await fleet.ask("/page/1")).status == 200
 
-    play(run())
+    play(scenario())
 
 
 def test_a_change_is_in_force_and_versions_only_rise() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             state = fleet.gateway.state
             newer = configuration(5, tenants=[{"name": "shop", "apiKeys": ["key-two"]}])
@@ -365,11 +365,11 @@
             assert state.rules is not None
             assert state.rules.version == 5
 
-    play(run())
+    play(scenario())
 
 
 def test_a_draining_endpoint_gets_no_new_work() -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         leaving, staying = PlatformWorker("w1"), PlatformWorker("w2")
         async with Fleet({"web": [leaving, staying]}) as fleet:
             await fleet.store.put("servers", "w1", leaving.entry("web", state="draining"))
@@ -378,7 +378,7 @@
                 await fleet.ask("/page/1")
             assert len(staying.arrived) == 6
 
-    play(run())
+    play(scenario())
 
 
 def test_a_reused_address_does_not_run_another_services_request() -> None:
@@ -388,7 +388,7 @@
     names the first one. Checking the address alone is not enough.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         stranger = PlatformWorker("stranger")
         async with Fleet({"web": []}) as fleet, stranger:
             await fleet.store.put("servers", "w1", stranger.entry("web"))
@@ -396,7 +396,7 @@
             assert (await fleet.ask("/page/1")).status == 503
             assert not stranger.arrived
 
-    play(run())
+    play(scenario())
 
 
 def test_a_leaving_router_serves_callers_until_they_have_gone() -> None:
@@ -406,7 +406,7 @@
     New requests must not be accepted until the end of the grace time.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         workers = {
             "web": [PlatformWorker("w1")],
             "pool": [PlatformWorker("e1", Script(silent=True))],
@@ -429,7 +429,7 @@
             running.cancel()
             await leaving
 
-    play(run())
+    play(scenario())
 
 
 def test_the_directory_lists_all_ready_routers() -> None:
@@ -438,7 +438,7 @@
     One of two routers stops. Its address must disappear from the answers of the other.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         fleet = Fleet({"web": [PlatformWorker("w1")]})
         async with fleet, fleet.router("router-2") as second:
             await until(lambda: second.state.ready)
@@ -448,7 +448,7 @@
             second.state.leaving = plan_leaving(now_ms, grace_ms=8_000.0, address_ttl_ms=1_000.0)
             await until_listed(fleet, {fleet.gateway.callers})
 
-    play(run())
+    play(scenario())
 
 
 async def ready(fleet: Fleet) -> object:
@@ -476,12 +476,12 @@
 
 
 def test_the_key_itself_is_not_logged(capfd: pytest.CaptureFixture[str]) -> None:
-    async def run() -> None:
+    async def scenario() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             await fleet.ask("/rewrite/1", Authorization="Token wrong")
             await fleet.ask("/rewrite/1")
 
-    play(run())
+    play(scenario())
     written = capfd.readouterr().err
     assert '"message":"request: denied"' in written
     assert KEY not in written
@@ -495,7 +495,7 @@
     the end of the outage, and the removal for an entry that expired during it.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         async with Fleet({"web": [PlatformWorker("w1"), PlatformWorker("w2")]}) as fleet:
             feeds = fleet.gateway._feeds
             follower = feeds._followers["servers"]
@@ -508,7 +508,7 @@
             await fleet.store.remove("servers", "w1")
             await until(lambda: len(fleet.gateway.state.book) < 2)
 
-    play(run())
+    play(scenario())
 
 
 def test_an_unexpected_exception_does_not_leave_a_caller_waiting() -> None:
@@ -518,7 +518,7 @@
     connection. The connection must be closed as well.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         async def raise_error(request: Request, caller: CallerConnection) -> None:
             raise ZeroDivisionError
 
@@ -534,7 +534,7 @@
         writer.close()
         server.close()
 
-    play(run())
+    play(scenario())
 
 
 def test_an_endpoint_removed_while_a_connection_is_made_gets_no_request(
@@ -546,7 +546,7 @@
     only keys and time must be checked again but also whether the endpoint may still get requests.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         worker = PlatformWorker("w1")
         async with Fleet({"web": [worker]}) as fleet:
             take, gone = ConnectionPool.take, asyncio.Event()
@@ -564,4 +564,4 @@
             assert (await asked).status == 503
             assert not worker.arrived
 
-    play(run())
+    play(scenario())
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -46,7 +46,7 @@
     router must compare the predicted duration with the time left before it sends the request.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         engine = SteadyEngine("e1")
         async with Fleet({"pool": [engine]}, grace_ms=3_000.0) as fleet:
             await observe_streams(fleet, "/rewrite/1")
@@ -62,7 +62,7 @@
         assert answer.headers["connection"] == "close"
         assert len(engine.arrived) == LEAST_READINGS + 1
 
-    play(run())
+    play(scenario())
 
 
 def test_streams_may_exceed_the_callers_length_estimate() -> None:
@@ -72,7 +72,7 @@
     an upper bound of the duration.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         engine = SteadyEngine("e1")
         async with Fleet({"pool": [engine]}, grace_ms=3_000.0) as fleet:
             short = {"X_Token_Usage": "300,100", "X_Length_Hint": "30"}
@@ -84,7 +84,7 @@
             assert len(engine.arrived) == LEAST_READINGS
             await leaving
 
-    play(run())
+    play(scenario())
 
 
 def test_the_time_left_is_checked_again_before_a_retry() -> None:
@@ -95,7 +95,7 @@
     each wait.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         engines = [SteadyEngine("e1"), SteadyEngine("e2")]
         async with Fleet({"pool": list(engines)}, grace_ms=1_000.0) as fleet:
             await observe_streams(fleet, "/draft/1")
@@ -110,7 +110,7 @@
             assert sum(len(engine.arrived) for engine in engines) == sent
             await leaving
 
-    play(run())
+    play(scenario())
 
 
 @pytest.mark.parametrize(
@@ -129,7 +129,7 @@
     caller must get an answer, and the log must show the reason before it is closed.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         engine = PlatformWorker("e1", script)
         async with Fleet({"pool": [engine]}, grace_ms=500.0) as fleet:
             reader, writer = await connect(fleet.gateway.callers)
@@ -142,7 +142,7 @@
         assert (answer.status, answer.whole) == (status, became == "failed")
         assert state.log.decisions[became, "the router ends"] == 1
 
-    play(run())
+    play(scenario())
     lines = [json.loads(line) for line in capfd.readouterr().err.splitlines() if line[:1] == "{"]
     (ended,) = [line for line in lines if line.get("reason") == "the router ends"]
     assert (ended["message"], ended["request"]) == (f"request: {became}", "attempt1")
--- a/tests/test_gateway_properties.py
+++ b/tests/test_gateway_properties.py
@@ -203,11 +203,11 @@
 def test_requests_are_parsed_the_same_for_any_segmentation(
     parts: list[bytes], cuts: list[int]
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         expected = [(b"/a", b"abc") if part is REQUEST else (b"/b", b"hi") for part in parts]
         assert await _requests(b"".join(parts), cuts) == expected
 
-    play(story())
+    play(scenario())
 
 
 @drawn
@@ -233,10 +233,10 @@
         # The corrupted head is complete without that length: what follows is not its body.
         return
 
-    async def story() -> None:
+    async def scenario() -> None:
         targets = [target for target, _ in await _requests(corrupted + inner, cuts)]
         length = b"content-length: %d" % len(inner)
         if length in corrupted.lower().split(b"\r\n"):
             assert b"/smuggled" not in targets
 
-    play(story())
+    play(scenario())
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -40,7 +40,7 @@
     """
     monkeypatch.setattr(store_client, "CALL_MS", 300.0)
 
-    async def run() -> None:
+    async def scenario() -> None:
         async with (
             Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet,
             FaultProxy(fleet.store.address) as link,
@@ -51,7 +51,7 @@
             await fleet.store.put("op", "config", configuration(7))
             await until(lambda: router.state.rules.version == 7)
 
-    play(run())
+    play(scenario())
 
 
 def test_an_idempotent_request_survives_an_unresponsive_idle_connection() -> None:
@@ -61,7 +61,7 @@
     router must not wait for its answer until the deadline.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         worker = PlatformWorker("w1")
         async with (
             Fleet({"web": [PlatformWorker("w0"), worker]}) as fleet,
@@ -82,7 +82,7 @@
                 await until(lambda: len(book) == 2)
                 assert (await fleet.ask("/search/2")).status == 200
 
-    play(run())
+    play(scenario())
 
 
 def test_keys_are_not_trusted_after_a_suspension_until_they_are_confirmed() -> None:
@@ -92,7 +92,7 @@
     the confirmation must be taken from a clock that includes the suspension.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         worker = PlatformWorker("e1", STREAM)
         async with Fleet({"pool": [worker], "web": [PlatformWorker("w1")]}) as fleet:
             clock = JumpingClock()
@@ -105,7 +105,7 @@
                 assert len(worker.arrived) == 1
                 assert (await fleet.ask("/page/1", at=router)).status == 200
 
-    play(run())
+    play(scenario())
 
 
 def test_a_late_removal_does_not_delete_the_row_of_the_next_incarnation() -> None:
@@ -115,7 +115,7 @@
     restarted router has written its row. The removal must name the row's version.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             rows = fleet.store.rows
             async with fleet.router("router-2") as router:
@@ -130,7 +130,7 @@
                 await asyncio.sleep(0.7)
                 assert rows("routers").get("router-2") == second
 
-    play(run())
+    play(scenario())
 
 
 def test_a_router_whose_row_is_gone_writes_it_again() -> None:
@@ -139,13 +139,13 @@
     Its row is removed while it runs. Writing the row only at the start is not enough.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             await until(lambda: fleet.gateway._feeds._own_version is not None)
             await fleet.store.remove("routers", "router-1")
             await until(lambda: "router-1" in fleet.store.rows("routers"))
 
-    play(run())
+    play(scenario())
 
 
 def test_a_write_whose_answer_was_lost_is_retried() -> None:
@@ -154,7 +154,7 @@
     The answers to its first writes are lost, and the writes must be retried.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             fleet.store.losing_writes = True
             async with fleet.router("router-2") as router:
@@ -164,7 +164,7 @@
                 await until(lambda: "router-2" in fleet.store.rows("routers"))
                 assert (await fleet.ask("/draft/1", at=router)).status == 200
 
-    play(run())
+    play(scenario())
 
 
 def test_a_caller_that_leaves_early_is_logged(
@@ -175,7 +175,7 @@
     The caller closes its connection before its answer; that must be logged.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         async with Fleet({"web": [PlatformWorker("w1", Script(silent=True))]}) as fleet:
             _, writer = await connect(fleet.gateway.callers)
             writer.write(fleet.request("/page/1"))
@@ -184,7 +184,7 @@
             writer.close()
             await until(lambda: state.records["w1"].outstanding == 0)
 
-    play(run())
+    play(scenario())
     lines = [json.loads(line) for line in capfd.readouterr().err.splitlines() if line[:1] == "{"]
     left = [line for line in lines if line["message"] == "request: abandoned"]
     assert len(left) == 1
@@ -199,7 +199,7 @@
     and the store.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         worker = PlatformWorker("w1")
         async with (
             Fleet({"web": [worker]}) as fleet,
@@ -219,7 +219,7 @@
             await until(lambda: not router._connections)
             assert (await fleet.ask("/page/2", at=router)).status == 200
 
-    play(run())
+    play(scenario())
 
 
 def test_invalid_settings_are_ignored_and_later_ones_are_applied(
@@ -231,7 +231,7 @@
     error of the first read must not end the task that polls the file.
     """
 
-    async def run() -> None:
+    async def scenario() -> None:
         path = tmp_path / "settings"
         path.write_text("first")
         async with Fleet({"web": [PlatformWorker("w1")]}) as fleet:
@@ -259,4 +259,4 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(main, "SETTINGS_CHECK_S", 0.02)
-        play(run())
+        play(scenario())
--- a/tests/test_router_view.py
+++ b/tests/test_router_view.py
@@ -16,7 +16,7 @@
 
 
 def test_the_router_command_shows_local_state(capsys: pytest.CaptureFixture[str]) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         workers = {"pool": [PlatformWorker("e1", STREAM)], "web": [PlatformWorker("w1")]}
         async with Fleet(workers) as fleet, fleet.router("router-2") as other:
             await until(lambda: bool(fleet.gateway._members.known()) and other.state.ready)
@@ -25,7 +25,7 @@
             assert await asyncio.to_thread(main, ["router", address]) == 0
             assert await asyncio.to_thread(main, ["router", address, "--json"]) == 0
 
-    play(story())
+    play(scenario())
     *lines, machine = capsys.readouterr().out.splitlines()
     assert lines[0] == "router-1: ready"
     assert lines[1].startswith("configuration 1, confirmed ")
@@ -44,7 +44,7 @@
     On-call engineers see the reason only if refusals are counted by it.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         workers = {"pool": [PlatformWorker("e1", STREAM)]}
         async with Fleet(workers, revoke_ms=900.0) as fleet:
             assert (await fleet.ask("/draft/1")).status == 200
@@ -62,7 +62,7 @@
         assert 'state{name="loop_lag_ms"}' in text
         assert 'state{name="overloaded"}' in text
 
-    play(story())
+    play(scenario())
 
 
 def test_metrics_show_demand_and_service_of_the_largest_workspaces() -> None:
@@ -72,7 +72,7 @@
     The page lists only the largest: a list of all would grow with the number of workspaces.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             assert (await fleet.ask("/draft/1")).status == 200
             shares, clock = fleet.gateway.state.shares.of("pool"), fleet.gateway.state.clock
@@ -86,7 +86,7 @@
         assert 'workspaces{name="served_tokens",service="pool",workspace="other-39"} 0' in text
         assert text.count('name="asked_tokens"') == LARGEST_WORKSPACES
 
-    play(story())
+    play(scenario())
 
 
 def test_an_address_without_a_router_is_reported(capsys: pytest.CaptureFixture[str]) -> None:
@@ -101,7 +101,7 @@
     and for callers' address queries.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Fleet({"web": [PlatformWorker("w1")]}) as fleet:
             for address in fleet.gateway.site_addresses:
                 for path in ("/status", "/metrics"):
@@ -110,4 +110,4 @@
                     assert (await read_answer(reader)).status == 404
                     writer.close()
 
-    play(story())
+    play(scenario())
