--- a/packages/gateway/src/tamarack_gateway/caller_handler.py
+++ b/packages/gateway/src/tamarack_gateway/caller_handler.py
@@ -9,7 +9,6 @@
 from tamarack_core.ruleset import Route
 from tamarack_gateway.caller_connection import CallerConnection
 from tamarack_gateway.connection_pool import ConnectionPool
-from tamarack_gateway.end_witness import TerminationDetector
 from tamarack_gateway.exchange import Exchange
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.gateway_metrics import GatewayMetrics
@@ -19,6 +18,7 @@
 from tamarack_gateway.quarantine_feed import QuarantineFeed
 from tamarack_gateway.request_quarantine import RequestQuarantine
 from tamarack_gateway.site import RequestDialect, RequestFacts
+from tamarack_gateway.termination_detector import TerminationDetector
 
 DENY_AGE_MS = 3_600.0
 """With an older configuration, or if the newest one cannot be read, an unknown route or key is
--- a/packages/gateway/src/tamarack_gateway/gateway.py
+++ b/packages/gateway/src/tamarack_gateway/gateway.py
@@ -16,7 +16,6 @@
 from tamarack_gateway.connection_limiter import ConnectionLimiter
 from tamarack_gateway.connection_pool import ConnectionPool
 from tamarack_gateway.decision_log import DecisionLog
-from tamarack_gateway.end_witness import TerminationDetector
 from tamarack_gateway.fleet_feeds import FleetFeeds
 from tamarack_gateway.fleet_members import FleetMembers, Member
 from tamarack_gateway.fleet_state import FleetState
@@ -30,6 +29,7 @@
 from tamarack_gateway.router_pages import RouterPages
 from tamarack_gateway.site import Site
 from tamarack_gateway.table_follower import CopyWanted, TableNews
+from tamarack_gateway.termination_detector import TerminationDetector
 
 READERS_SETTLE_MS = 1_000.0
 """Time after its start in which a router of a large fleet, having read the store once, does not act
--- a/packages/gateway/src/tamarack_gateway/request_quarantine.py
+++ b/packages/gateway/src/tamarack_gateway/request_quarantine.py
@@ -9,11 +9,11 @@
 from tamarack_core.fingerprint import fingerprint
 from tamarack_core.quarantine import FREE, Handling, Treatment
 from tamarack_core.termination_evidence import InterruptedRequest
-from tamarack_gateway.end_witness import TerminationDetector
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.http_messages import Request
 from tamarack_gateway.quarantine_feed import QuarantineFeed
 from tamarack_gateway.site import RequestFacts
+from tamarack_gateway.termination_detector import TerminationDetector
 
 EARLY_MS = 500.0
 """A request whose first event is younger than this counts as having just begun to run. Requests
--- a/tests/test_termination_detector.py
+++ b/tests/test_termination_detector.py
@@ -7,7 +7,7 @@
 from crashing_pool import CrashingPool
 from gateway_site import Fleet, play, until
 
-from tamarack_gateway.end_witness import UNCONFIRMED_MS
+from tamarack_gateway.termination_detector import UNCONFIRMED_MS
 from tamarack_standins.fault_proxy import FaultProxy
 from tamarack_standins.platform_worker import BORN_MS, PlatformWorker, Script
 
