--- a/bench/ablation/patches/sent-again.sed
+++ b/bench/ablation/patches/sent-again.sed
@@ -1,2 +1,2 @@
 #packages/gateway/src/tamarack_gateway/exchange.py
-s/^        if last.verdict is Verdict.TIME_UP or self._caller.gone:$/        if True:/
+s/^        if last.outcome is SendOutcome.TIMED_OUT or self._caller.disconnected:$/        if True:/
--- a/packages/gateway/src/tamarack_gateway/caller_connection.py
+++ b/packages/gateway/src/tamarack_gateway/caller_connection.py
@@ -34,8 +34,8 @@
 Handler = Callable[[Request, "CallerConnection"], Awaitable[None]]
 
 
-class CallerGoneError(ConnectionError):
-    """The caller closed its connection."""
+class CallerDisconnectedError(ConnectionError):
+    """The caller has closed its connection."""
 
 
 class CallerConnection(asyncio.Protocol):
@@ -185,7 +185,7 @@
     # called by handlers
 
     @property
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether the caller has closed the connection."""
         return self._transport is None or self._transport.is_closing()
 
@@ -212,14 +212,14 @@
     @property
     def answered_ms(self) -> float | None:
         """Time at which the last answer ended; None while busy and before the first answer."""
-        idle = self._answered and not self.busy and not self.gone
+        idle = self._answered and not self.busy and not self.disconnected
         return self._changed_ms if idle else None
 
     def answer(self, status: int, headers: Headers, body: bytes = b"") -> None:
         """Write a complete answer."""
         if self._begun:
             raise RuntimeError("an answer has begun already")
-        if self.gone:
+        if self.disconnected:
             return
         self._begun = True
         framed = [*headers, (b"content-length", b"%d" % len(body)), *self._connection_headers()]
@@ -229,21 +229,21 @@
         """Write the head and the first bytes of an answer of unknown length."""
         if self._begun:
             raise RuntimeError("an answer has begun already")
-        if self.gone:
-            raise CallerGoneError
+        if self.disconnected:
+            raise CallerDisconnectedError
         self._begun = True
         framed = [*headers, (b"transfer-encoding", b"chunked"), *self._connection_headers()]
         self._transport.write(head_bytes(status, framed) + (chunk_bytes(first) if first else b""))
 
     def write(self, data: bytes) -> None:
         """Write more of an answer that has begun."""
-        if self.gone:
-            raise CallerGoneError
+        if self.disconnected:
+            raise CallerDisconnectedError
         self._transport.write(chunk_bytes(data))
 
     def end(self) -> None:
         """Write the end of an answer that has begun."""
-        if not self.gone:
+        if not self.disconnected:
             self._transport.write(LAST_CHUNK)
 
     def cut(self) -> None:
@@ -261,7 +261,7 @@
 
     def close_if_idle(self, now_ms: float) -> None:
         """Close the connection after the idle timeout, or if a request head arrives too slowly."""
-        if self.gone or self._task is not None:
+        if self.disconnected or self._task is not None:
             return
         bounds = self._bounds()
         elapsed_ms = now_ms - self._changed_ms
@@ -273,12 +273,12 @@
     def close_when_idle(self) -> None:
         """Close the connection now, or after the answer in progress."""
         self.closing = True
-        if not self.gone and not self.busy:
+        if not self.disconnected and not self.busy:
             self._transport.close()
 
     async def _serve(self) -> None:
         try:
-            while self._pending and not self.gone:
+            while self._pending and not self.disconnected:
                 request, keep = self._pending.popleft()
                 self._keep_alive = keep
                 self._begun = False
@@ -287,7 +287,7 @@
                 except Exception:
                     self._fail()
                     raise
-                if not self._begun and not self.gone:
+                if not self._begun and not self.disconnected:
                     raise RuntimeError("a request was not answered")
                 if not (self._keep_alive and not self.closing):
                     self._finish()
@@ -349,7 +349,7 @@
 
     def _refuse(self, status: int) -> None:
         self._refused = True
-        if self.gone:
+        if self.disconnected:
             return
         if self._task is None:
             headers: Headers = [(b"content-length", b"0"), (b"connection", b"close")]
--- a/packages/gateway/src/tamarack_gateway/caller_handler.py
+++ b/packages/gateway/src/tamarack_gateway/caller_handler.py
@@ -77,7 +77,7 @@
         if self._loop_monitor.should_refuse(workspace):
             # Checked before any other work: this router is overloaded, and others may not be. The
             # caller gets an answer and keeps its connection: a caller whose connection is closed
-            # unread takes the address for dead, and one pinned to this router has no other.
+            # unread considers the address unreachable, and one pinned to this router has no other.
             self._refuse(
                 caller, facts.attempt, "overloaded", OVERLOAD_RETRY_MS, workspace=workspace
             )
--- a/packages/gateway/src/tamarack_gateway/connection_pool.py
+++ b/packages/gateway/src/tamarack_gateway/connection_pool.py
@@ -42,7 +42,7 @@
     ----------
     opened, reused
         Number of connections opened, and of times an idle one was reused.
-    lapsed, closed
+    expired, closed
         Number of connections dropped after being idle for too long, and of those that the endpoint
         had closed.
     """
@@ -52,7 +52,7 @@
         self._idle: dict[_Target, list[EndpointConnection]] = {}
         self.opened = 0
         self.reused = 0
-        self.lapsed = 0
+        self.expired = 0
         self.closed = 0
 
     def idle(self, key: EndpointIncarnation) -> int:
@@ -63,7 +63,7 @@
         """Whether an idle connection to an endpoint is still open: all close when it terminates."""
         return any(connection.usable for connection in self._idle.get(_target(endpoint), []))
 
-    def keep_new(self, endpoint: Endpoint, connection: EndpointConnection) -> None:
+    def add_new(self, endpoint: Endpoint, connection: EndpointConnection) -> None:
         """Add a new connection that has not been used for a request yet."""
         self.opened += 1
         connection.idle_since_ms = self._clock.now_ms
@@ -131,7 +131,7 @@
 
     def _discard(self, connection: EndpointConnection) -> None:
         if connection.usable:
-            self.lapsed += 1
+            self.expired += 1
         else:
             self.closed += 1
         connection.abort()
--- a/packages/gateway/src/tamarack_gateway/decision_log.py
+++ b/packages/gateway/src/tamarack_gateway/decision_log.py
@@ -17,18 +17,19 @@
 from tamarack_core.clock import Clock
 
 QUEUE_LINES = 2_000
-"""Most queued lines; some two seconds of a busy router."""
+"""Maximum number of queued lines; some two seconds of a busy router."""
 
 WRITE_BYTES = 4_096
 """Bytes that a writable output accepts without blocking (PIPE_BUF)."""
 
 LINES_PER_S = 300
-"""Most lines of one kind in a second, in which a busy router places some 40 requests. Failures and
-successes are different kinds, so that neither displaces lines of the other."""
+"""Maximum lines of one kind in a second, in which a busy router places some 40 requests. Failures
+and successes are different kinds, so that neither displaces lines of the other."""
 
 
 MAX_REASONS = 60
-"""Most reasons counted separately; some include text from endpoints, which is unbounded."""
+"""Maximum number of reasons counted separately; some include text from endpoints, which is
+unbounded."""
 
 
 class DecisionLog:
--- a/packages/gateway/src/tamarack_gateway/endpoint_connection.py
+++ b/packages/gateway/src/tamarack_gateway/endpoint_connection.py
@@ -48,7 +48,7 @@
         self._parser = httptools.HttpResponseParser(self)
         self._headers: Headers = []
         self._head: AnswerHead | None = None
-        self._pieces: deque[bytes] = deque()
+        self._chunks: deque[bytes] = deque()
         self._complete = False
         self._error: Exception | None = None
         self._waiter: asyncio.Future[None] | None = None
@@ -62,7 +62,7 @@
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
-        watch_silence(transport.get_extra_info("socket"))
+        enable_keepalive(transport.get_extra_info("socket"))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
@@ -72,8 +72,8 @@
 
     def data_received(self, data: bytes) -> None:
         if not self._expecting or self._complete:
-            # Unexpected bytes belong to no request: what follows on this connection could be taken
-            # for the answer to another request.
+            # No request is in progress: bytes that follow on this connection could be mistaken for
+            # the answer to another request.
             self.abort()
             return
         try:
@@ -120,7 +120,7 @@
 
     def on_body(self, body: bytes) -> None:
         if not self._complete:
-            self._pieces.append(body)
+            self._chunks.append(body)
 
     def on_message_complete(self) -> None:
         if self._head is None:
@@ -138,11 +138,11 @@
         return open_ and not self._expecting
 
     def send(self, data: bytes) -> None:
-        """Write one request; read its answer with `head`, then `piece`, `body` or `deliver`."""
+        """Write one request; `head` and then `next_chunk`, `body` or `deliver` read its answer."""
         if not self.usable:
             raise BrokenAnswerError("the connection is closed")
         self._head, self._complete, self._error = None, False, None
-        self._pieces.clear()
+        self._chunks.clear()
         self._consumer = None
         self._expecting = True
         self._transport.write(data)
@@ -154,19 +154,19 @@
             await self._wait()
         return self._head
 
-    async def piece(self) -> bytes | None:
+    async def next_chunk(self) -> bytes | None:
         """Wait for more of the body; None at its end."""
-        while not self._pieces:
+        while not self._chunks:
             if self._complete:
                 return None
             self._check()
             await self._wait()
-        pieces = b"".join(self._pieces)
-        self._pieces.clear()
-        return pieces
+        chunks = b"".join(self._chunks)
+        self._chunks.clear()
+        return chunks
 
     def deliver(self, take: Callable[[bytes], None]) -> None:
-        """Pass the body to `take` as it arrives, instead of `piece`; `whole` waits for its end.
+        """Pass the body to `take` as it arrives, not to `next_chunk`; `whole` waits for its end.
 
         A `ConnectionError` or `ValueError` from `take` aborts the connection, and `whole` raises
         it.
@@ -192,10 +192,10 @@
 
     async def body(self) -> bytes:
         """Wait for the whole body."""
-        pieces = []
-        while (piece := await self.piece()) is not None:
-            pieces.append(piece)
-        return b"".join(pieces)
+        chunks = []
+        while (chunk := await self.next_chunk()) is not None:
+            chunks.append(chunk)
+        return b"".join(chunks)
 
     def finish(self, now_ms: float) -> bool:
         """Mark the connection idle after a complete answer; returns whether it may be reused."""
@@ -221,12 +221,12 @@
             self._transport.abort()
 
     def _deliver_pending(self, take: Callable[[bytes], None]) -> None:
-        if not self._pieces:
+        if not self._chunks:
             return
-        pieces = b"".join(self._pieces)
-        self._pieces.clear()
+        chunks = b"".join(self._chunks)
+        self._chunks.clear()
         try:
-            take(pieces)
+            take(chunks)
         except (ConnectionError, ValueError) as error:
             self._error = error
             self.abort()
@@ -275,8 +275,8 @@
     return connection
 
 
-def watch_silence(sock: socket.socket) -> None:
-    """Set socket options so that the kernel detects a peer that stopped responding."""
+def enable_keepalive(sock: socket.socket) -> None:
+    """Enable TCP keepalive and the user timeout, which detect a peer that stopped responding."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/packages/gateway/src/tamarack_gateway/exchange.py
+++ b/packages/gateway/src/tamarack_gateway/exchange.py
@@ -31,8 +31,8 @@
 from tamarack_gateway.outbox import Outbox
 from tamarack_gateway.request_quarantine import RequestQuarantine
 from tamarack_gateway.send_recorder import UNREACHED_WEIGHT, SendRecorder
-from tamarack_gateway.send_result import Result, Verdict
-from tamarack_gateway.sending_connection import sending_connection
+from tamarack_gateway.send_result import Result, SendOutcome
+from tamarack_gateway.sending_connection import acquire_connection
 from tamarack_gateway.site import RequestDialect, RequestFacts
 
 DEADLINE_MARGIN_MS = 15.0
@@ -46,8 +46,8 @@
 """Failed connection attempts after which a request is given up; nothing was sent in any of them."""
 
 NOT_LIMITED = Decision(Admission.ADMITTED, "not decided on")
-"""Used without admission control: for plain services, whose endpoints reject requests themselves,
-and for retries."""
+"""Decision without admission control: for plain services, whose endpoints reject requests
+themselves, and for retries."""
 
 
 class Exchange:
@@ -138,7 +138,7 @@
 
     async def _attempts(self) -> None:
         connect_failures = 0
-        last = Result(Verdict.NOT_RUN, "no endpoint")
+        last = Result(SendOutcome.NOT_RUN, "no endpoint")
         while True:
             standing = self._request_quarantine.current_handling()
             if standing.treatment is Treatment.QUARANTINED:
@@ -159,7 +159,7 @@
                 await asyncio.sleep(decision.wait_ms / 1000)
                 continue
             try:
-                connection = await sending_connection(self._pool, choice.endpoint, self._caller)
+                connection = await acquire_connection(self._pool, choice.endpoint, self._caller)
             except ConnectError as error:
                 connect_failures += 1
                 self._pool.drop(choice.endpoint)
@@ -181,7 +181,7 @@
                 connection.abort()
                 continue
             last = await self._send(placement, connection)
-            if last.verdict is Verdict.DONE:
+            if last.outcome is SendOutcome.DONE:
                 return None
             if not self._may_retry(last):
                 return self._give_up(last)
@@ -259,12 +259,12 @@
         try:
             async with asyncio.timeout(max(0.0, self._left_ms) / 1000):
                 result = await self._transfer(choice, connection)
-            whole = result.verdict in (Verdict.DONE, Verdict.NOT_RUN, Verdict.FAILED)
+            whole = result.outcome in (SendOutcome.DONE, SendOutcome.NOT_RUN, SendOutcome.FAILED)
         except TimeoutError:
-            result = Result(Verdict.TIME_UP, "no answer in time")
+            result = Result(SendOutcome.TIMED_OUT, "no answer in time")
         except (BrokenAnswerError, BadStreamError) as error:
             lost = isinstance(error, ConnectionLostError)
-            result = Result(Verdict.BROKEN, str(error), lost=lost)
+            result = Result(SendOutcome.BROKEN, str(error), lost=lost)
         finally:
             self._recorder.ended()
             self._request_quarantine.ended()
@@ -275,13 +275,13 @@
                 connection.abort()
         took_ms = state.clock.now_ms - sent_ms
         self._recorder.result(endpoint, result, took_ms)
-        if result.verdict in (Verdict.DONE, Verdict.FAILED):
+        if result.outcome in (SendOutcome.DONE, SendOutcome.FAILED):
             self._request_quarantine.answered()
         if result.lost:
             begun_ms = self._first_event_ms
             running_ms = None if begun_ms is None else state.clock.now_ms - begun_ms
             await self._request_quarantine.lost(endpoint, running_ms, sent_ms)
-        if result.verdict is Verdict.DONE:
+        if result.outcome is SendOutcome.DONE:
             state.log.request(
                 "answered",
                 self._facts.attempt,
@@ -311,10 +311,10 @@
         if facts.not_run:
             self._may_have_run = ran_before
             await connection.body()
-            return Result(Verdict.NOT_RUN, f"status {head.status}")
+            return Result(SendOutcome.NOT_RUN, f"status {head.status}")
         if not 200 <= head.status < 300:
             body = await connection.body()
-            return Result(Verdict.FAILED, f"status {head.status}", head, body)
+            return Result(SendOutcome.FAILED, f"status {head.status}", head, body)
         if not facts.signed or facts.encoded:
             raise BrokenAnswerError("the answer is not the endpoint's")
         if self._route.streams:
@@ -324,7 +324,7 @@
             raise BrokenAnswerError("the body is not whole")
         self._duration_estimate.answered(self._state.clock.now_ms - sent_ms)
         self._caller.answer(head.status, self._dialect.for_caller(head), body)
-        return Result(Verdict.DONE)
+        return Result(SendOutcome.DONE)
 
     async def _relay_events(
         self, choice: Choice, connection: EndpointConnection, head: AnswerHead
@@ -342,14 +342,14 @@
         relay.end()
         if relay.first_ms is not None:
             self._duration_estimate.streamed(clock.now_ms - relay.first_ms, resumed_after)
-        return Result(Verdict.DONE)
+        return Result(SendOutcome.DONE)
 
     # after a send
 
     def _may_retry(self, last: Result) -> bool:
-        if last.verdict is Verdict.TIME_UP or self._caller.gone:
+        if last.outcome is SendOutcome.TIMED_OUT or self._caller.disconnected:
             return False
-        if last.verdict is not Verdict.NOT_RUN and not self._route.repeatable:
+        if last.outcome is not SendOutcome.NOT_RUN and not self._route.repeatable:
             return False
         if last.head is not None and last.head.status == 504 and self._route.streams:
             return False
@@ -381,7 +381,7 @@
             state.log.request("cut", self._facts.attempt, reason=last.reason, sends=self._sends)
             self._caller.cut()
             return
-        if last.verdict is Verdict.FAILED and last.head is not None:
+        if last.outcome is SendOutcome.FAILED and last.head is not None:
             self._answer.pass_failure(last.head, last.body)
             return
         if not self._may_have_run:
@@ -389,6 +389,6 @@
             state.log.request("refused", self._facts.attempt, reason=reason, sends=self._sends)
             self._answer.refuse(503, 200.0 + 300.0 * state.random.random())
             return
-        status = 504 if last.verdict is Verdict.TIME_UP else 502
+        status = 504 if last.outcome is SendOutcome.TIMED_OUT else 502
         state.log.request("failed", self._facts.attempt, reason=last.reason, status=status)
         self._answer.refuse(status, None)
--- a/packages/gateway/src/tamarack_gateway/fleet_feeds.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_feeds.py
@@ -296,12 +296,12 @@
                 row.key: self._read_endpoint(row) for row in rows.values() if row.value is not None
             }
             found = [endpoint for endpoint in read.values() if endpoint is not None]
-            state.registry.replace(found, now_ms, keep_until_ms=change.lapsed_until_ms)
+            state.registry.replace(found, now_ms, keep_until_ms=change.grace_until_ms)
             for name in [name for name, endpoint in read.items() if endpoint is None]:
                 state.registry.drop(name)
         else:
             for row in rows.values():
-                self._apply_endpoint_row(row, now_ms, change.lapsed_until_ms)
+                self._apply_endpoint_row(row, now_ms, change.grace_until_ms)
         if change.rows or change.whole:
             state.sync_endpoints()
             for name in state.registry.without_incarnation:
--- a/packages/gateway/src/tamarack_gateway/fleet_members.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_members.py
@@ -29,7 +29,7 @@
 different failure domains, and any two may fail."""
 
 MAX_ADDRESSES = 64
-"""Most addresses that callers accept in one answer."""
+"""Maximum number of addresses that callers accept in one answer."""
 
 
 class Member(NamedTuple):
@@ -54,13 +54,13 @@
         self._recently_heard: set[str] = set()
         self._scores: dict[str, dict[str, int]] = {}
 
-    def stamped(self, router: str, stamp_ms: float) -> None:
+    def record_stamp(self, router: str, stamp_ms: float) -> None:
         """Record a newer timestamp of a router's own clock."""
         known = self._members.get(router)
         if known is not None and stamp_ms > known.stamp_ms:
             self._members[router] = known._replace(stamp_ms=stamp_ms)
 
-    def alive(self, stamps: dict[str, float], now_ms: float) -> None:
+    def record_unchanged(self, stamps: dict[str, float], now_ms: float) -> None:
         """Record that routers are unchanged since their last summaries, by their own timestamps."""
         for router, stamp_ms in stamps.items():
             known = self._members.get(router)
--- a/packages/gateway/src/tamarack_gateway/gateway.py
+++ b/packages/gateway/src/tamarack_gateway/gateway.py
@@ -179,7 +179,7 @@
             self._log.event("new settings cannot be used", reason=str(error))
             return
         self._state.settings = self._settings
-        self._log.event("settings were read anew", store=self._settings.store)
+        self._log.event("settings reloaded", store=self._settings.store)
 
     async def leave(self) -> None:
         """Shut down gracefully: divert callers first, then finish requests in progress."""
@@ -240,7 +240,7 @@
             others=lambda: self._members.heard_within(5_000.0, self._clock.now_ms),
             on_report=self._on_report,
             on_placements=self._state.apply_placements,
-            on_alive=lambda stamps: self._members.alive(stamps, self._clock.now_ms),
+            on_alive=lambda stamps: self._members.record_unchanged(stamps, self._clock.now_ms),
         )
 
     def _make_feeds(self) -> FleetFeeds:
@@ -249,7 +249,7 @@
             self._state,
             follow=self._follow,
             reads=self._reads,
-            publish=self._publish_news,
+            publish=self._publish_changes,
             wanted=self._peers.publish_copy_request,
             on_quarantine_change=self._quarantine.apply_change,
         )
@@ -290,7 +290,7 @@
             return False
         return self._members.reads(table, self._me, now_ms)
 
-    def _publish_news(self, news: TableNews) -> None:
+    def _publish_changes(self, news: TableNews) -> None:
         if self._members.heard_within(5_000.0, self._clock.now_ms):
             if news.table == self._site.tables.configuration:
                 news = news._replace(stamps=self._members.stamps())
@@ -299,7 +299,7 @@
     def _on_report(self, report: Report) -> None:
         if report.summary is not None:
             self._on_summary(report.summary, report.stamp_ms)
-        self._members.stamped(report.router, report.stamp_ms)
+        self._members.record_stamp(report.router, report.stamp_ms)
         if report.placements is not None:
             self._state.apply_placements(report.placements)
         if report.news is not None:
@@ -314,7 +314,7 @@
         if self._members.sends_copy(f"{wanted.table}/{wanted.tries}", self._me, self._clock.now_ms):
             news = self._feeds.copy(wanted)
             if news is not None:
-                self._publish_news(news)
+                self._publish_changes(news)
 
     def _on_summary(self, summary: Summary, stamp_ms: float) -> None:
         now_ms = self._clock.now_ms
--- a/packages/gateway/src/tamarack_gateway/gateway_metrics.py
+++ b/packages/gateway/src/tamarack_gateway/gateway_metrics.py
@@ -71,7 +71,7 @@
             "endpoints": len(state.registry),
             "connections_opened": self._pool.opened,
             "connections_reused": self._pool.reused,
-            "connections_lapsed": self._pool.lapsed,
+            "connections_lapsed": self._pool.expired,
             "connections_closed_by_endpoints": self._pool.closed,
             "log_lines": state.log.written,
             "store_calls": self._store_calls(),
--- a/packages/gateway/src/tamarack_gateway/quarantine_feed.py
+++ b/packages/gateway/src/tamarack_gateway/quarantine_feed.py
@@ -28,7 +28,7 @@
 have terminated, or the store rejects it."""
 
 MAX_LOGGED_FINGERPRINTS = 8
-"""Most fingerprints in one log line."""
+"""Maximum number of fingerprints in one log line."""
 
 
 MAX_TRIALS = 1_000_000
--- a/packages/gateway/src/tamarack_gateway/quarantine_status.py
+++ b/packages/gateway/src/tamarack_gateway/quarantine_status.py
@@ -7,8 +7,8 @@
 from tamarack_gateway.fleet_state import FleetState
 
 MOST_SUSPECTS = 50
-"""Most suspects in the status, by the terminations they were present at; a mass failure creates
-hundreds."""
+"""Maximum number of suspects in the status, by the terminations they were present at; a mass
+failure creates hundreds."""
 
 
 class QuarantinedStatus(TypedDict):
--- a/packages/gateway/src/tamarack_gateway/router_status.py
+++ b/packages/gateway/src/tamarack_gateway/router_status.py
@@ -10,8 +10,8 @@
 from tamarack_gateway.unreadable_rows import RowKind
 
 LARGEST_WORKSPACES = 20
-"""Most workspaces in the status of each service, by requested tokens. A site may have thousands;
-those with little load are neither refused nor affect others."""
+"""Maximum number of workspaces in the status of each service, by requested tokens. A site may have
+thousands; those with little load are neither refused nor affect others."""
 
 
 class MemberStatus(TypedDict):
--- a/packages/gateway/src/tamarack_gateway/send_recorder.py
+++ b/packages/gateway/src/tamarack_gateway/send_recorder.py
@@ -11,13 +11,13 @@
 from tamarack_core.ruleset import Route
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.outbox import Outbox
-from tamarack_gateway.send_result import Result, Verdict
+from tamarack_gateway.send_result import Result, SendOutcome
 
 REJECTED_WEIGHT = 0.5
 """Weight of a rejection, half of a failure: the endpoint is full, and answered at once."""
 
 UNREACHED_WEIGHT = 3.0
-"""Weight of a failed connection attempt: the next request would wait for a connection in vain."""
+"""Weight of a failed connection attempt: the next request would wait for one that fails as well."""
 
 CALLER_ERROR_STATUSES = (400, 404, 504)
 """Statuses that concern the request or its deadline, and do not count as endpoint failures."""
@@ -145,16 +145,16 @@
 
     def result(self, endpoint: Endpoint, result: Result, took_ms: float) -> None:
         """Record the result of a send."""
-        if result.verdict is Verdict.DONE:
+        if result.outcome is SendOutcome.DONE:
             record = self._state.record(endpoint.key)
             if record is not None:
                 record.succeeded(self._state.clock.now_ms, took_ms)
             return
-        if result.verdict is Verdict.FAILED and result.head is not None:
+        if result.outcome is SendOutcome.FAILED and result.head is not None:
             if result.head.status not in CALLER_ERROR_STATUSES:
                 self.failure(endpoint, result.reason)
             return
-        rejected = result.verdict is Verdict.NOT_RUN
+        rejected = result.outcome is SendOutcome.NOT_RUN
         self.failure(endpoint, result.reason, weight=REJECTED_WEIGHT if rejected else 1.0)
 
     def failure(self, endpoint: Endpoint, reason: str, *, weight: float = 1.0) -> None:
--- a/packages/gateway/src/tamarack_gateway/send_result.py
+++ b/packages/gateway/src/tamarack_gateway/send_result.py
@@ -8,13 +8,13 @@
 from tamarack_gateway.http_messages import AnswerHead
 
 
-class Verdict(Enum):
+class SendOutcome(Enum):
     """Outcome of one send."""
 
     DONE = 1
     NOT_RUN = 2
     BROKEN = 3
-    TIME_UP = 4
+    TIMED_OUT = 4
     FAILED = 5
 
 
@@ -27,7 +27,7 @@
         Whether the connection closed before the answer was complete, as in a crash of the endpoint.
     """
 
-    verdict: Verdict
+    outcome: SendOutcome
     reason: str = ""
     head: AnswerHead | None = None
     body: bytes = b""
--- a/packages/gateway/src/tamarack_gateway/sending_connection.py
+++ b/packages/gateway/src/tamarack_gateway/sending_connection.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from tamarack_core.endpoint_registry import Endpoint
-from tamarack_gateway.caller_connection import CallerConnection, CallerGoneError
+from tamarack_gateway.caller_connection import CallerConnection, CallerDisconnectedError
 from tamarack_gateway.connection_pool import ConnectionPool
 from tamarack_gateway.endpoint_connection import ConnectError, EndpointConnection
 
@@ -17,10 +17,10 @@
 """Event-loop iterations until the caller's socket has been polled and read."""
 
 
-async def sending_connection(
+async def acquire_connection(
     pool: ConnectionPool, endpoint: Endpoint, caller: CallerConnection
 ) -> EndpointConnection:
-    """A connection on which to send at once; raises `ConnectError` or `CallerGoneError`.
+    """A connection on which to send at once; raises `ConnectError` or `CallerDisconnectedError`.
 
     A request and its caller's close may be in the same socket buffer, for seconds if the event loop
     lags. Without the wait below the endpoint works on an abandoned request, and its log shows one
@@ -28,9 +28,9 @@
 
     In each iteration the event loop polls all sockets, runs the tasks that were already ready, and
     then reads the sockets that the poll reported. A task woken by its request's arrival, a timer or
-    an endpoint's answer thus runs before a close reported by the same poll is read. After yielding
-    once the task runs behind that read, and after yielding twice behind the read of a poll made
-    after this call: every close that had arrived at the time of the call has then been seen.
+    an endpoint's answer thus runs before a close reported by the same poll is read. After one
+    `sleep(0)` the task runs after that read, and after two it runs after the read of a poll made
+    after this call: every close that had arrived at the time of the call has then been read.
     Nothing is awaited between the return and the send. A close that arrives within the last
     iteration is not seen; the event-loop lag bounds the length of that iteration.
 
@@ -43,12 +43,12 @@
         try:
             for _ in range(LOOP_ITERATIONS):
                 await asyncio.sleep(0)
-            usable = connection.usable and not caller.gone
+            usable = connection.usable and not caller.disconnected
         finally:
             if not usable:
                 pool.put_back(endpoint, connection)
-        if caller.gone:
-            raise CallerGoneError("left before the request was sent")
+        if caller.disconnected:
+            raise CallerDisconnectedError("left before the request was sent")
         if usable:
             return connection
     raise ConnectError("closed at once")
--- a/packages/gateway/src/tamarack_gateway/table_follower.py
+++ b/packages/gateway/src/tamarack_gateway/table_follower.py
@@ -17,7 +17,7 @@
 pause, the store's recovery is still detected within a second."""
 
 MAX_NEWS_BYTES = 131_072
-"""Most bytes of changed rows in one message of a reader: two rows of the largest size. For larger
+"""Maximum bytes of changed rows in a message of a reader: two rows of the largest size. For larger
 changes, listeners call the store. Sending the rows once to each failure domain, with a relay to
 distribute them there, costs less than calls to the store: with 8 KiB, each configuration change
 made all of 195 routers call it."""
@@ -44,7 +44,7 @@
         All rows of the table if `whole`, else those that changed.
     asked_ms
         When the call was sent; the rows were current then or later.
-    lapsed_until_ms
+    grace_until_ms
         Time until which missing rows may only have expired in an outage of the store and may
         return. It is in the past if there was no recent outage.
     """
@@ -52,10 +52,10 @@
     rows: list[Row]
     whole: bool
     asked_ms: float
-    lapsed_until_ms: float
+    grace_until_ms: float
 
 
-class RowNews(NamedTuple):
+class PublishedRow(NamedTuple):
     """A row as readers publish it; `value` is None if it was removed."""
 
     key: str
@@ -87,7 +87,7 @@
     after: int
     version: int
     age_ms: float
-    rows: list[RowNews] | None
+    rows: list[PublishedRow] | None
     stamps: dict[str, float]
     whole: bool = False
 
@@ -163,7 +163,7 @@
         self._copy_ms = float("-inf")
         self._version: int | None = None
         self._gap_found = False
-        self._last_news_ms = float("-inf")
+        self._last_message_ms = float("-inf")
         self._gap_event = asyncio.Event()
         self._failures = 0
         self._restarting_call = False
@@ -181,7 +181,7 @@
         try:
             while True:
                 if self._listening():
-                    await self._wait_for_news()
+                    await self._wait_for_message()
                 else:
                     await self._poll_store()
         finally:
@@ -202,7 +202,7 @@
 
     def receive(self, news: TableNews, stamp_ms: float) -> None:
         """Apply a reader's message; `stamp_ms` is this router's newest time known to the reader."""
-        self._last_news_ms = self._clock.now_ms
+        self._last_message_ms = self._clock.now_ms
         if news.whole:
             self._apply_copy(news, stamp_ms)
             return
@@ -229,7 +229,7 @@
         if not self._reads() or now_ms - self._copy_ms < COPY_GAP_MS:
             return None
         self._copy_ms = now_ms
-        rows = [RowNews(row.key, row.value, row.version) for row in self._rows.values()]
+        rows = [PublishedRow(row.key, row.value, row.version) for row in self._rows.values()]
         age_ms = now_ms - self._call_sent_ms
         return TableNews(self._table, after, self._version, age_ms, rows, {}, whole=True)
 
@@ -260,9 +260,9 @@
     def _listening(self) -> bool:
         if self._version is None or self._gap_found or self._failures or self._reads():
             return False
-        return self._clock.now_ms - self._last_news_ms < SILENCE_WAITS * self._wait_ms
+        return self._clock.now_ms - self._last_message_ms < SILENCE_WAITS * self._wait_ms
 
-    async def _wait_for_news(self) -> None:
+    async def _wait_for_message(self) -> None:
         self._gap_event.clear()
         check_ms = min(LISTEN_MAX_MS, self._wait_ms * LISTEN_WAIT_FRACTION)
         with contextlib.suppress(TimeoutError):
@@ -296,7 +296,7 @@
             page = await self._client.read_all(self._table)
             # Counts as a reader's message: otherwise, routers of a large fleet that start together
             # would all go on calling until the first message arrives.
-            self._last_news_ms = self._clock.now_ms
+            self._last_message_ms = self._clock.now_ms
         else:
             # After an outage the store must answer at once: a call that waits for a change would
             # detect the recovery only with that change, and take its time for the recovery's.
@@ -318,11 +318,13 @@
             self._publish(after, page.version, page.rows, asked_ms)
 
     def _publish(self, after: int, version: int, rows: list[Row], asked_ms: float) -> None:
-        news_rows: list[RowNews] | None = [RowNews(row.key, row.value, row.version) for row in rows]
+        published_rows: list[PublishedRow] | None = [
+            PublishedRow(row.key, row.value, row.version) for row in rows
+        ]
         if sum(len(row.value or b"") for row in rows) > MAX_NEWS_BYTES:
-            news_rows = None
+            published_rows = None
         age_ms = self._clock.now_ms - asked_ms
-        self._on_result(TableNews(self._table, after, version, age_ms, news_rows, {}))
+        self._on_result(TableNews(self._table, after, version, age_ms, published_rows, {}))
 
     def _store_answered(self) -> None:
         if self._failures:
--- a/packages/gateway/src/tamarack_gateway/termination_detector.py
+++ b/packages/gateway/src/tamarack_gateway/termination_detector.py
@@ -31,7 +31,7 @@
 does not break off running requests or close all idle connections."""
 
 UNCONFIRMED_MS = 5_000.0
-"""Time for which broken answers are kept while no termination is confirmed: the endpoint's entry
+"""Time for which broken answers are stored while no termination is confirmed: the endpoint's entry
 expires after three missed heartbeats, 3.6 s, or the next incarnation's replaces it before."""
 
 BURST_MS = 200.0
@@ -126,7 +126,7 @@
         self._on_termination = on_termination
         self._checks: dict[EndpointIncarnation, _Check] = {}
         self._unconfirmed: dict[EndpointIncarnation, _Check] = {}
-        state.on_incarnation_ended = self._incarnation_over
+        state.on_incarnation_ended = self._on_incarnation_ended
 
     async def lost(self, endpoint: Endpoint, aboard: InterruptedRequest, sent_ms: float) -> bool:
         """Record that an answer broke off; returns whether its endpoint has terminated.
@@ -191,7 +191,7 @@
             async with asyncio.timeout(IMMEDIATE_CLOSE_MS / 1000):
                 await connection.closed()
         except TimeoutError:
-            self._pool.keep_new(check.endpoint, connection)
+            self._pool.add_new(check.endpoint, connection)
             return False
         return True
 
@@ -218,7 +218,7 @@
             if not old.lost:
                 del self._unconfirmed[key]
 
-    def _incarnation_over(self, key: EndpointIncarnation, replaced: bool) -> None:
+    def _on_incarnation_ended(self, key: EndpointIncarnation, replaced: bool) -> None:
         check = self._unconfirmed.pop(key, None)
         now_ms = self._state.clock.now_ms
         if (
--- a/packages/gateway/src/tamarack_gateway/unreadable_rows.py
+++ b/packages/gateway/src/tamarack_gateway/unreadable_rows.py
@@ -9,11 +9,12 @@
 from tamarack_gateway.decision_log import DecisionLog
 
 LINES_PER_S = 20
-"""Most log lines in a second, so that they do not use up the log's own limit, which also applies to
-starts and stops. A writer of many bad rows repeats the same error, so little is lost."""
+"""Maximum log lines in a second, so that they do not use up the log's own limit, which also applies
+to starts and stops. A writer of many bad rows repeats the same error, so little is lost."""
 
 MAX_KEYS = 2_000
-"""Most rows whose last logged version is remembered; a fleet has fewer endpoints and routers."""
+"""Maximum number of rows whose last logged version is stored; a fleet has fewer endpoints and
+routers."""
 
 MAX_REASON_CHARACTERS = 200
 """Maximum length of a logged reason, which may quote the row."""
--- a/tests/test_callers_who_left.py
+++ b/tests/test_callers_who_left.py
@@ -192,8 +192,8 @@
     callers give up: it took 962 new connections in a second in which the others took 8 each, and
     held 3,576.
 
-    Requests that arrive anyway are answered and not cut: a caller whose connection is reset takes
-    the address for dead, and one pinned to it has no other address. In twelve seconds 1,144
+    Requests that arrive anyway are answered and not cut: a caller whose connection is reset
+    considers the address unreachable, and one pinned to it has no other. In twelve seconds 1,144
     requests were cut without an answer at one router, and 6 once it answered.
     """
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -64,7 +64,7 @@
         log.request("placed", str(number))
     log.request("failed", "abc", reason="no answer in time")
     clock.advance(1_000.0)
-    log.event("settings were read anew")
+    log.event("settings reloaded")
     for _ in range(QUEUE_LINES):
         log.flush()
     os.close(output)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -258,7 +258,7 @@
 
 
 def test_a_broken_stream_resumes_at_another_worker() -> None:
-    """Failure: a stream has a gap or a repeated piece, or ends as if it were complete.
+    """Failure: a stream has a gap or a repeated part, or ends as if it were complete.
 
     A worker breaks off in the middle of an event. An incomplete event must not be passed on, and
     the second worker must not start from the beginning.
@@ -349,7 +349,7 @@
     play(scenario())
 
 
-def test_a_change_is_in_force_and_versions_only_rise() -> None:
+def test_a_change_is_applied_and_an_older_version_is_ignored() -> None:
     async def scenario() -> None:
         async with Fleet({"pool": [PlatformWorker("e1", STREAM)]}) as fleet:
             state = fleet.gateway.state
@@ -402,7 +402,7 @@
 def test_a_leaving_router_serves_callers_until_they_have_gone() -> None:
     """Failure: a request is accepted long after SIGTERM and cut when the process exits.
 
-    A caller that still has the address sends a stream seconds after the router was told to stop.
+    A caller that still has the address sends a stream seconds after the router received SIGTERM.
     New requests must not be accepted until the end of the grace time.
     """
 
@@ -540,7 +540,7 @@
 def test_an_endpoint_removed_while_a_connection_is_made_gets_no_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Failure: an endpoint gets a new request after all routers know that it leaves.
+    """Failure: an endpoint gets a new request after all routers know that it is leaving.
 
     A router waits for a connection to it, and its entry is removed meanwhile. After the wait, not
     only keys and time must be checked again but also whether the endpoint may still get requests.
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -16,7 +16,7 @@
 from tamarack_gateway.store_client import StoreError
 from tamarack_gateway.table_follower import (
     CopyWanted,
-    RowNews,
+    PublishedRow,
     TableChange,
     TableFollower,
     TableNews,
@@ -44,16 +44,18 @@
         )
         self.follower._version = 10
 
-    def deliver(self, after: int, version: int, rows: list[RowNews] | None, **more: float) -> None:
+    def deliver(
+        self, after: int, version: int, rows: list[PublishedRow] | None, **more: float
+    ) -> None:
         news = TableNews("op", after, version, more.get("age_ms", 0.0), rows, {})
         self.follower.receive(news, more.get("stamp_ms", self.clock.now_ms))
 
 
 def test_overlapping_messages_are_applied_once() -> None:
     listener = Listener()
-    listener.deliver(10, 12, [RowNews("a", b"1", 12)])
-    listener.deliver(10, 12, [RowNews("a", b"1", 12)])
-    listener.deliver(11, 14, [RowNews("a", b"1", 12), RowNews("b", None, 14)])
+    listener.deliver(10, 12, [PublishedRow("a", b"1", 12)])
+    listener.deliver(10, 12, [PublishedRow("a", b"1", 12)])
+    listener.deliver(11, 14, [PublishedRow("a", b"1", 12), PublishedRow("b", None, 14)])
     assert [[row.key for row in change.rows] for change in listener.changes] == [["a"], [], ["b"]]
     assert listener.follower.version == 14
 
@@ -65,7 +67,7 @@
     were no gap.
     """
     listener = Listener()
-    listener.deliver(12, 14, [RowNews("b", b"2", 14)])
+    listener.deliver(12, 14, [PublishedRow("b", b"2", 14)])
     assert listener.changes == []
     assert not listener.follower._listening()
 
@@ -88,7 +90,7 @@
     listener.follower._on_result = published.append
     row = Row("op", "config", b"x" * 65_536, 12)
     listener.follower._publish(10, 12, [row], 99_000.0)
-    assert published[0].rows == [RowNews("config", row.value, 12)]
+    assert published[0].rows == [PublishedRow("config", row.value, 12)]
 
 
 def test_delayed_messages_do_not_confirm_the_present_state() -> None:
@@ -257,7 +259,7 @@
 
 def test_one_copy_serves_all_routers_that_request_it() -> None:
     listener = Listener()
-    listener.deliver(10, 12, [RowNews("a", b"1", 12)])
+    listener.deliver(10, 12, [PublishedRow("a", b"1", 12)])
     reader = listener.follower
     reader._reads = lambda: True
     assert reader.copy(12) is None
@@ -291,7 +293,7 @@
         listener.follower._client = cast(Any, store)
         step = asyncio.ensure_future(listener.follower._call_store())
         await asyncio.sleep(0)
-        listener.deliver(10, 12, [RowNews("e", b"draining", 12)])
+        listener.deliver(10, 12, [PublishedRow("e", b"draining", 12)])
         store.answer.set_result(RowsPage([Row("op", "e", b"ready", 11)], 11, False))
         await step
         applied = {row.key: row.value for change in listener.changes for row in change.rows}
@@ -315,7 +317,7 @@
         listener.follower._version = None
         await listener.follower._store_failed(StoreError("status 503"))
         assert [want.after for want in wanted] == [0]
-        copy = TableNews("op", 0, 12, 0.0, [RowNews("a", b"1", 12)], {}, whole=True)
+        copy = TableNews("op", 0, 12, 0.0, [PublishedRow("a", b"1", 12)], {}, whole=True)
         listener.follower.receive(copy, listener.clock.now_ms)
         assert listener.follower.version == 12
 
