--- a/tests/test_foreign_rows.py
+++ b/tests/test_foreign_rows.py
@@ -93,10 +93,10 @@
 
 @pytest.mark.parametrize("name", ["", "w 1", "w1\r\nX-Tenant: other", "wł"])
 def test_an_id_that_is_no_valid_header_value_is_rejected(name: str) -> None:
-    """An endpoint got an injected header, or a request to it failed in the router.
+    """Failure: an endpoint gets an injected header, or a request to it fails in the router.
 
-    The entry's key has a line end or a character that headers cannot encode, and was written into
-    the header unchecked.
+    The entry's key has a line break or a character that headers cannot encode, and must not be
+    written into the header unchecked.
     """
     with pytest.raises(ValueError):
         read_endpoint(name, encoded(GOOD))
@@ -104,10 +104,10 @@
 
 @pytest.mark.parametrize("data", [b"", b"\xff\xfe", b"[]", b"null", NESTED, encoded(GOOD)[:-1]])
 def test_undecodable_bytes_raise_a_value_error(data: bytes) -> None:
-    """A router stopped following a table after a row that nests too deeply.
+    """Failure: a router stops following a table after a row that nests too deeply.
 
-    The decoder raised an error of another class than the one that was caught, which ended the task
-    that follows the table.
+    If the decoder raises an error of another class than the one that is caught, the task that
+    follows the table ends.
     """
     for read in (
         lambda: read_endpoint("w1", data),
@@ -120,10 +120,10 @@
 
 
 def test_an_entry_that_becomes_unreadable_removes_its_endpoint_and_no_other() -> None:
-    """Requests were sent to an endpoint whose entry another writer had overwritten.
+    """Failure: requests are sent to an endpoint whose entry another writer has overwritten.
 
-    An unreadable change was skipped, so that the previous entry stayed in use until the next read
-    of the whole table.
+    An unreadable change must not be skipped: the previous entry would stay in use until the next
+    read of the whole table.
     """
 
     async def scenario() -> None:
@@ -160,10 +160,10 @@
 
 
 def test_an_entry_without_an_incarnation_among_entries_with_one_is_not_used() -> None:
-    """Requests were sent to an address that another writer had entered.
+    """Failure: requests are sent to an address that another writer has entered.
 
-    The entry has all fields except the incarnation, which all others have. The field was treated as
-    optional, as it is on a site where no endpoint has an incarnation.
+    The entry has all fields except the incarnation, which all others have. The field is optional
+    only on a site where no endpoint has an incarnation.
     """
     listed = [Endpoint(f"w{n}", "web", f"10.0.0.{n}:80", "a", 4, False, BORN_MS) for n in range(3)]
     foreign = Endpoint("w9", "web", "10.0.0.9:80", "a", 4, False, None)
@@ -178,10 +178,10 @@
 
 
 def test_a_row_that_is_not_base64_does_not_affect_others_of_its_page() -> None:
-    """A router that started never became ready.
+    """Failure: a router that starts never becomes ready.
 
-    The value of one row cannot be decoded. The whole page counted as unreadable and was requested
-    again and again.
+    The value of one row cannot be decoded. The whole page must not count as unreadable, or it is
+    requested again and again.
     """
     value = base64.b64encode(encoded(GOOD)).decode()
     good = {"table": "servers", "key": "w2", "ver": 5, "value": value}
@@ -206,9 +206,9 @@
 
 
 def test_a_page_without_a_version_is_rejected() -> None:
-    """A router read all changes of a table since the first one.
+    """Failure: a router reads all changes of a table since the first one.
 
-    The store's answer has no version, and it counted as version 0.
+    The store's answer has no version, which must not count as version 0.
     """
     with pytest.raises(ValueError):
         StoreDialect().page(b'{"rows":[]}')
@@ -229,9 +229,9 @@
 def test_the_last_good_configuration_stays_in_force(
     bad: Any, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """An invalid configuration went unnoticed, or stopped all service.
+    """Failure: an invalid configuration goes unnoticed, or stops all service.
 
-    It was reported in a single log line only.
+    It must be reported in more than a single log line.
     """
 
     async def scenario() -> None:
@@ -263,10 +263,10 @@
 
 
 def test_a_key_that_an_unreadable_configuration_revokes_is_rejected() -> None:
-    """A key was accepted long after it was revoked.
+    """Failure: a key is accepted long after it was revoked.
 
     A new configuration revokes the key, but another part of it cannot be read. The last valid
-    version stayed in force with its keys, and each answer of the store confirmed them.
+    version stays in force, but its keys must not: each answer of the store would confirm them.
     """
 
     async def scenario() -> None:
@@ -293,11 +293,11 @@
 
 
 def test_an_outdated_read_does_not_restore_keys_that_an_unreadable_version_revokes() -> None:
-    """A revoked key was accepted again.
+    """Failure: a revoked key is accepted again.
 
-    Only the keys of the newest configuration can be read. The store's history is gone, and the read
-    of the whole table that follows is seconds old. Its row has the version that is in force, and
-    was put in force again with its keys.
+    Only the keys of the newest configuration can be read. The store's history is unavailable, and
+    the read of the whole table that follows is seconds old. Its row has the version that is in
+    force, and must not be put in force again with its keys.
     """
 
     async def scenario() -> None:
@@ -328,10 +328,10 @@
     ],
 )
 def test_an_invalid_router_row_does_not_affect_other_routers(row: Any) -> None:
-    """Routers did not subscribe to routers that started later.
+    """Failure: routers do not subscribe to routers that start later.
 
-    A row has an address to which no socket can connect. The socket's error ended the task that
-    follows the table.
+    A row has an address to which no socket can connect. The socket's error must not end the task
+    that follows the table.
     """
 
     async def scenario() -> None:
@@ -346,10 +346,10 @@
 
 
 def test_a_bad_row_is_logged_once_for_each_version_and_at_a_limited_rate() -> None:
-    """Log lines about a start or a lost store were dropped.
+    """Failure: log lines about a start or a lost store are dropped.
 
-    Another writer changes a bad row many times a second, or it is read repeatedly, and each read
-    was logged.
+    Another writer changes a bad row many times a second, or it is read repeatedly; not every read
+    may be logged.
     """
     clock = ManualClock(10_000.0)
     log = DecisionLog("r", clock, output=2)
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -61,10 +61,10 @@
 
 
 def test_the_store_is_called_after_a_lost_message() -> None:
-    """A router missed a change permanently.
+    """Failure: a router misses a change permanently.
 
-    A message of a reader is lost, and the next one starts after it, but was applied as if there
-    were no gap.
+    A message of a reader is lost, and the next one starts after it. It must not be applied as if
+    there were no gap.
     """
     listener = Listener()
     listener.deliver(12, 14, [PublishedRow("b", b"2", 14)])
@@ -80,10 +80,10 @@
 
 
 def test_a_configuration_of_the_largest_size_is_published() -> None:
-    """Each configuration change caused a call to the store by every router.
+    """Failure: each configuration change causes a call to the store by every router.
 
-    Readers published that a configuration with many routes had changed, but not the row, since it
-    was larger than 8 KiB.
+    Readers publish that a configuration with many routes has changed, but not the row if it is
+    larger than the limit, which must not be as low as 8 KiB.
     """
     listener = Listener()
     published: list[TableNews] = []
@@ -94,10 +94,10 @@
 
 
 def test_delayed_messages_do_not_confirm_the_present_state() -> None:
-    """A revoked key was accepted seconds later.
+    """Failure: a revoked key is accepted seconds later.
 
     A reader's messages are delayed between the routers and arrive all at once. Their time of
-    arrival was used as the time at which the store was called.
+    arrival must not be used as the time at which the store was called.
     """
     listener = Listener()
     listener.clock.advance(20_000.0)
@@ -114,10 +114,10 @@
 
 
 def test_a_router_that_has_just_read_a_table_waits_for_messages() -> None:
-    """Routers of a large fleet that started together called the store three times each.
+    """Failure: routers of a large fleet that start together call the store three times each.
 
-    All read the whole table before they know of each other. A router without a message so far
-    continued to call the store, though the table that it had read was as recent.
+    All read the whole table before they know of each other. A router without a message so far must
+    not continue to call the store, as the table that it has read is as recent.
     """
 
     class Pages:
@@ -134,10 +134,10 @@
 
 
 def test_grace_for_expired_rows_starts_with_the_first_answer_of_the_store() -> None:
-    """An endpoint that had left got new work for more than two seconds.
+    """Failure: an endpoint that has left gets new work for more than two seconds.
 
     The store recovers. One task reaches it while another is in a pause between failed calls, and
-    an endpoint leaves meanwhile. The grace period started with the second task's own answer.
+    an endpoint leaves meanwhile. The grace period must not start with the second task's own answer.
     """
     listener = Listener()
     follower = listener.follower
@@ -174,9 +174,9 @@
 
 
 def test_callers_are_not_sent_to_a_router_that_the_store_rejects() -> None:
-    """Callers of one failure domain were refused for seconds, though other routers had capacity.
+    """Failure: callers of one failure domain are refused for seconds while others have capacity.
 
-    The store rejects one router, whose keys expire, but its address stayed in the answers to
+    The store rejects one router, whose keys expire; its address must not stay in the answers to
     callers. If the store is unavailable to all, all addresses are returned.
     """
     members = FleetMembers()
@@ -207,10 +207,10 @@
 
 
 def test_callers_are_spread_if_most_routers_have_no_recent_confirmation() -> None:
-    """One router of 66 got three quarters of all requests, and ran out of file descriptors.
+    """Failure: one router of 66 gets three quarters of all requests and runs out of descriptors.
 
     Confirmations come through other routers and are slightly too old at most of them, while a
-    router that calls the store is always fresh. Callers were sent to fresh routers only.
+    router that calls the store is always fresh. Callers must not be sent to fresh routers only.
     """
     members = FleetMembers()
     everyone = members_of(66)
@@ -228,10 +228,10 @@
 
 
 def test_a_router_that_the_store_rejects_gets_a_large_change_from_the_others() -> None:
-    """A third of the routers refused all callers with keys for seconds, while the others served.
+    """Failure: a third of the routers refuse all callers with keys for seconds; the others serve.
 
     The store rejects just these routers, and a configuration change is too large for the readers'
-    messages. These routers had to read it from the store, and later messages were useless without
+    messages. If these routers have to read it from the store, later messages are useless without
     it: 22 of 66 routers had last confirmed their keys 8.4 s before, though three readers published
     each second.
     """
@@ -275,10 +275,10 @@
 
 
 def test_a_delayed_answer_does_not_undo_newer_messages() -> None:
-    """A draining endpoint got new work again for a while.
+    """Failure: a draining endpoint gets new work again for a while.
 
     While a router waits for the store's answer, another router sends it a newer change. The answer,
-    of an older version, arrives afterwards, and its rows were applied all the same.
+    of an older version, arrives afterwards, and its rows must not be applied.
     """
 
     class Store:
@@ -304,10 +304,10 @@
 
 
 def test_a_router_whose_history_is_gone_gets_a_copy() -> None:
-    """A router that the store rejects received no more changes.
+    """Failure: a router that the store rejects receives no more changes.
 
-    The store drops its history and then rejects the router. A router without a version neither
-    requested the table from the others nor applied their messages.
+    The store drops its history and then rejects the router. A router without a version must request
+    the table from the others and apply their messages.
     """
 
     async def scenario() -> None:
@@ -325,10 +325,10 @@
 
 
 def test_callers_get_the_address_of_a_router_restarted_after_its_clock_was_set_back() -> None:
-    """A ready router got no callers as long as it ran.
+    """Failure: a ready router gets no callers as long as it runs.
 
     Its wall clock is set back, and it restarts. Incarnations are ordered by the wall clock at their
-    start, and the new one was ignored permanently as a former one.
+    start, and the new one must not be ignored permanently as a former one.
     """
 
     def summary(boot: int, heard_ms: float) -> Member:
@@ -346,7 +346,7 @@
 def test_a_missed_change_of_a_leaving_endpoint_is_noticed_while_it_may_get_work(
     drain_ms: float,
 ) -> None:
-    """A listener detects a lost message only with the readers' next one, a full wait later."""
+    """Failure: a listener detects a lost message only with the readers' next one, a wait later."""
 
     async def scenario() -> None:
         workers = {"pool": [PlatformWorker("e1", Script(events=1))]}
