--- a/packages/ctl/src/tamarack_ctl/change_commands.py
+++ b/packages/ctl/src/tamarack_ctl/change_commands.py
@@ -15,8 +15,10 @@
 
 def _apply_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("-f", "--file", required=True, help="TOML or JSON file")
-    parser.add_argument("--dry-run", action="store_true", help="check and show the difference only")
-    parser.add_argument("--if-version", type=int, help="only if this is still the version")
+    parser.add_argument(
+        "--dry-run", action="store_true", help="only validate, and show the difference"
+    )
+    parser.add_argument("--if-version", type=int, help="commit only if this is still the version")
     add_timeout(parser)
 
 
@@ -42,7 +44,7 @@
 
 def _preset_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("action", choices=("show", "switch"))
-    parser.add_argument("name", nargs="?", help="preset to put in force")
+    parser.add_argument("name", nargs="?", help="preset to switch to")
     add_timeout(parser)
 
 
@@ -58,11 +60,11 @@
 
 def _drain_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("endpoint")
-    parser.add_argument("--undo", action="store_true", help="let it take work again")
+    parser.add_argument("--undo", action="store_true", help="send it work again")
     add_timeout(parser)
 
 
-@command("drain", "give an endpoint no new work", _drain_arguments)
+@command("drain", "stop sending new work to an endpoint", _drain_arguments)
 def drain(context: Context) -> Outcome:
     """Drain an endpoint, or undo its drain."""
     arguments = context.arguments
@@ -77,7 +79,9 @@
     add_timeout(parser)
 
 
-@command("roll-forward", "put an earlier content in force as a new version", _roll_arguments)
+@command(
+    "roll-forward", "commit the content of an earlier version as a new version", _roll_arguments
+)
 def roll_forward(context: Context) -> Outcome:
     """Commit an earlier version's content as a new version."""
     path = f"roll-forward/{context.arguments.version}"
@@ -92,7 +96,7 @@
     add_timeout(parser)
 
 
-@command("key-create", "make a key for a workspace; it is shown once", _key_arguments)
+@command("key-create", "create a key for a workspace; it is shown once", _key_arguments)
 def key_create(context: Context) -> Outcome:
     """Add a key to a workspace; only its hash is stored."""
     name = context.arguments.workspace
@@ -106,7 +110,7 @@
     return outcome._replace(value={**outcome.value, "workspace": name, "key": key})
 
 
-@command("key-fleet", "make the key pair that routers share", needs_fleet=False)
+@command("key-fleet", "create the key pair that routers share", needs_fleet=False)
 def key_fleet(context: Context) -> Outcome:
     """Make a CURVE key pair."""
     keys = new_fleet_keys()
@@ -121,7 +125,7 @@
     parser.add_argument("--private-key", default="tamarack.key")
 
 
-@command("key-tls", "make a self-signed certificate", _tls_arguments, needs_fleet=False)
+@command("key-tls", "create a self-signed certificate", _tls_arguments, needs_fleet=False)
 def key_tls(context: Context) -> Outcome:
     """Write a certificate and its private key."""
     arguments = context.arguments
--- a/packages/ctl/src/tamarack_ctl/main.py
+++ b/packages/ctl/src/tamarack_ctl/main.py
@@ -47,8 +47,8 @@
     parser = argparse.ArgumentParser(
         prog="tamarackctl",
         description="Command line for operators of a tamarackturn fleet.",
-        epilog=f"The token comes from {TOKEN}. Exit codes: 0 done, 1 refused, 2 wrong usage, "
-        "3 no router reached, 4 accepted but not in force everywhere in time.",
+        epilog=f"The token comes from {TOKEN}. Exit codes: 0 success, 1 refused, 2 usage error, "
+        "3 no router reachable, 4 accepted but not in force everywhere before the timeout.",
     )
     parser.add_argument(
         "--admin",
@@ -60,7 +60,7 @@
         "--operator",
         default=os.environ.get(OPERATOR, ""),
         metavar="NAME",
-        help=f"name to write beside changes [{OPERATOR}]",
+        help=f"operator name recorded with each change [{OPERATOR}]",
     )
     parser.add_argument(
         "--ca",
--- a/packages/ctl/src/tamarack_ctl/prefill_causes.py
+++ b/packages/ctl/src/tamarack_ctl/prefill_causes.py
@@ -98,7 +98,9 @@
     return Cause.FURTHER_ENGINE
 
 
-@command("reads", "tell why prompt parts were read again", add_logs, needs_fleet=False)
+@command(
+    "reads", "show why prefix blocks were prefilled again, from logs", add_logs, needs_fleet=False
+)
 def reads(context: Context) -> Outcome:
     """Read logs and add up tokens of shared prefix blocks by the cause of their prefill."""
     result = prefill_totals(read_logs(context.arguments.logs))
--- a/packages/ctl/src/tamarack_ctl/quarantine_view.py
+++ b/packages/ctl/src/tamarack_ctl/quarantine_view.py
@@ -25,7 +25,7 @@
 
 @command(
     "quarantine",
-    "list requests in quarantine since endpoints ended under them",
+    "list requests quarantined because endpoints crashed while running them",
     add_address,
     needs_fleet=False,
 )
@@ -36,10 +36,10 @@
 
 def _configure_release(parser: argparse.ArgumentParser) -> None:
     add_address(parser)
-    parser.add_argument("fingerprint", help="the request, as `quarantine` lists it")
+    parser.add_argument("fingerprint", help="fingerprint of the request, as `quarantine` lists it")
 
 
-@command("release", "release a request", _configure_release, needs_fleet=False)
+@command("release", "release a quarantined request", _configure_release, needs_fleet=False)
 def release(context: Context) -> Outcome:
     """Release a request through one router; the others read this from the store."""
     address, fingerprint = context.arguments.address, context.arguments.fingerprint
--- a/packages/ctl/src/tamarack_ctl/read_commands.py
+++ b/packages/ctl/src/tamarack_ctl/read_commands.py
@@ -12,7 +12,7 @@
 KINDS = ("workspaces", "services", "presets", "endpoints")
 
 
-@command("status", "show routers, versions and who dispatches")
+@command("status", "show routers, versions and dispatchers")
 def status(context: Context) -> Outcome:
     """Show the fleet as in one router's local view."""
     value = context.admin.status()
@@ -45,7 +45,7 @@
     return Outcome(json.dumps(shown, indent=2, sort_keys=True).splitlines(), value)
 
 
-@command("shares", "show shares and backlog where they are dispatched")
+@command("shares", "show shares and backlog of the shards that a router dispatches")
 def shares(context: Context) -> Outcome:
     """Show counters of the shards that the answering router dispatches."""
     value = context.admin.call("GET", "shares")
@@ -83,10 +83,12 @@
 
 def _watch_arguments(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("--interval", type=float, default=2.0, metavar="SECONDS")
-    parser.add_argument("--times", type=int, default=0, help="stop after this many (0: never)")
+    parser.add_argument(
+        "--times", type=int, default=0, help="stop after this many outputs (0: never)"
+    )
 
 
-@command("watch", "show the status again and again", _watch_arguments)
+@command("watch", "show the status repeatedly", _watch_arguments)
 def watch(context: Context) -> Outcome:
     """Print the status until stopped."""
     outcome = status(context)
--- a/packages/ctl/src/tamarack_ctl/request_log.py
+++ b/packages/ctl/src/tamarack_ctl/request_log.py
@@ -89,7 +89,7 @@
     add_logs(parser)
 
 
-@command("explain", "tell the story of one request from logs", _configure, needs_fleet=False)
+@command("explain", "show what happened to one request, from logs", _configure, needs_fleet=False)
 def explain(context: Context) -> Outcome:
     """Read logs and show what happened to a request."""
     lines = read_logs(context.arguments.logs)
--- a/packages/ctl/src/tamarack_ctl/router_view.py
+++ b/packages/ctl/src/tamarack_ctl/router_view.py
@@ -20,7 +20,7 @@
     parser.add_argument("address", metavar="IP:PORT", help="the router's address for metrics")
 
 
-@command("router", "show what one router of the platform believes", add_address, needs_fleet=False)
+@command("router", "show the local state of one router", add_address, needs_fleet=False)
 def show_router(context: Context) -> Outcome:
     """Ask one router for its status."""
     return show_page(context.arguments.address, "/status", _lines)
--- a/packages/ctl/src/tamarack_ctl/workspace_service.py
+++ b/packages/ctl/src/tamarack_ctl/workspace_service.py
@@ -80,7 +80,9 @@
     parser.add_argument("--until-ms", type=int, help="skip lines from this Unix time in ms on")
 
 
-@command("service", "tell what workspaces got, from logs", _configure, needs_fleet=False)
+@command(
+    "service", "show what service workspaces received, from logs", _configure, needs_fleet=False
+)
 def service(context: Context) -> Outcome:
     """Read logs and add up placed and refused tokens by workspace."""
     arguments = context.arguments
--- a/packages/router/src/tamarack_router/settings.py
+++ b/packages/router/src/tamarack_router/settings.py
@@ -189,26 +189,41 @@
         "peer_advertise",
         _optional_address,
         "",
-        "address that other routers are told, if it is not the one listened on",
+        "address advertised to other routers, if it differs from peer-listen",
     ),
-    Setting("peer", _addresses, "", "peer addresses of other routers, comma between"),
+    Setting("peer", _addresses, "", "peer addresses of other routers, comma-separated"),
     Setting("platform", _url, None, "base URL of the platform's services"),
     Setting("threads", _integer(2, 512), "8", "threads that read callers' requests"),
     Setting("admin_threads", _integer(1, 64), "4", "threads for operators, and for metrics"),
-    Setting("max_held", _integer(1, 100_000), "2000", "requests held at most"),
+    Setting("max_held", _integer(1, 100_000), "2000", "maximum number of requests held"),
     Setting(
-        "share_alpha", _number(0.01, 100), "1", "part of the free room that a workspace may hold"
+        "share_alpha",
+        _number(0.01, 100),
+        "1",
+        "multiple of the free request capacity that a workspace may hold",
+    ),
+    Setting(
+        "max_body_bytes", _integer(1_024, 100_000_000), "1000000", "maximum size of a request body"
+    ),
+    Setting("send_ms", _integer(50, 600_000), "10000", "time limit for a caller to send a request"),
+    Setting("address_ttl_ms", _integer(100, 600_000), "5000", "how long callers cache addresses"),
+    Setting(
+        "config_poll_ms",
+        _integer(50, 60_000),
+        "1000",
+        "how often the configuration's head is polled",
+    ),
+    Setting(
+        "load_poll_ms", _integer(50, 60_000), "500", "how often the load of endpoints is polled"
     ),
-    Setting("max_body_bytes", _integer(1_024, 100_000_000), "1000000", "longest body of a call"),
-    Setting("send_ms", _integer(50, 600_000), "10000", "longest time for a caller to send a call"),
-    Setting("address_ttl_ms", _integer(100, 600_000), "5000", "how long callers keep addresses"),
-    Setting("config_poll_ms", _integer(50, 60_000), "1000", "how often the head is read"),
-    Setting("load_poll_ms", _integer(50, 60_000), "500", "how often endpoints are asked for load"),
     Setting(
         "order_interval_ms", _integer(50, 60_000), "500", "how often the orderer compares engines"
     ),
     Setting(
-        "stream_silence_ms", _integer(50, 600_000), "1500", "silence after which a stream resumes"
+        "stream_silence_ms",
+        _integer(50, 600_000),
+        "1500",
+        "silence after which a stream is resumed",
     ),
     Setting(
         "whole_silence_ms",
@@ -216,11 +231,9 @@
         "6000",
         "the same for answers that are not streams",
     ),
-    Setting(
-        "answer_memory_bytes", _integer(0, 10**10), "48000000", "memory for answers that are kept"
-    ),
-    Setting("answer_lifetime_ms", _integer(0, 86_400_000), "120000", "how long answers are kept"),
-    Setting("shard_size", _integer(1, 4_096), "64", "endpoints that one dispatcher serves at most"),
+    Setting("answer_memory_bytes", _integer(0, 10**10), "48000000", "memory for stored answers"),
+    Setting("answer_lifetime_ms", _integer(0, 86_400_000), "120000", "how long answers are stored"),
+    Setting("shard_size", _integer(1, 4_096), "64", "maximum number of endpoints per dispatcher"),
     Setting("exchange_ms", _integer(50, 60_000), "1000", "how often shards exchange counters"),
     Setting(
         "policy",
@@ -231,15 +244,13 @@
     Setting(
         "switch_interval_us", _integer(50, 100_000), "2000", "interpreter's thread switch interval"
     ),
-    Setting("trace", _one_of("off", "stderr", "otlp"), "off", "where traces go"),
-    Setting("trace_address", _text, "http://127.0.0.1:4318/v1/traces", "URL for otlp"),
-    Setting("trace_sample", _number(0, 1), "0.01", "part of traces kept"),
-    Setting(
-        "log_level", _one_of("debug", "info", "warning", "error"), "info", "least level logged"
-    ),
-    Setting("tls_certificate", _file, "", "PEM file; with tls-key, listeners speak TLS"),
+    Setting("trace", _one_of("off", "stderr", "otlp"), "off", "destination of traces"),
+    Setting("trace_address", _text, "http://127.0.0.1:4318/v1/traces", "URL of the OTLP collector"),
+    Setting("trace_sample", _number(0, 1), "0.01", "fraction of traces that are recorded"),
+    Setting("log_level", _one_of("debug", "info", "warning", "error"), "info", "minimum log level"),
+    Setting("tls_certificate", _file, "", "PEM file; with tls-key, listeners use TLS"),
     Setting("tls_key", _file, "", "PEM file of the certificate's private key"),
-    Setting("curve_public", _text, "", "fleet's public key; with its secret, peers speak CURVE"),
+    Setting("curve_public", _text, "", "fleet's public key; with its secret, peers use CURVE"),
     Setting("admin_tokens", _tokens, None, "operators' tokens, ROLE:TOKEN,...", True),
     Setting("curve_secret", _text, "", "fleet's secret key", True),
 ]
@@ -250,7 +261,7 @@
     parser = argparse.ArgumentParser(
         prog="tamarackd",
         description="Router of a tamarackturn fleet. Every flag has an environment variable.",
-        epilog="Exit codes: 0 stopped as asked, 1 failed, 2 settings are wrong.",
+        epilog="Exit codes: 0 stopped on request, 1 failed, 2 invalid settings.",
     )
     for setting in SETTINGS:
         if setting.secret:
@@ -262,8 +273,8 @@
     parser.add_argument(
         "--print-settings",
         action="store_true",
-        help=f"print the settings without secrets and exit; secrets come by environment only, "
-        f"or by a file named in the variable with _FILE behind it: {secrets}",
+        help=f"print the settings without secrets and exit; secrets are read from the "
+        f"environment only, or from a file named by the variable with the suffix _FILE: {secrets}",
     )
     return parser
 
