--- a/packages/bench/src/tamarack_bench/capacity.py
+++ b/packages/bench/src/tamarack_bench/capacity.py
@@ -234,7 +234,7 @@
         f"| counter exchange of a shard | totals of the other shards | {s.shards_per_service - 1} "
         f"a second, {exchange / 1000:,.0f} KB a second | not measured alone | small "
         f"| `dispatcher.exchange`; **over the daemon's bytes, see below** |",
-        f"| keeper | {keys:,.0f} keys | {s.requests:.0f} claims a second "
+        f"| key owner | {keys:,.0f} keys | {s.requests:.0f} claims a second "
         f"| {lines['keeper_us_by_claims'].per_unit:.1f} us a claim | {key_mb:.1f} MB | `key_owner` |",
         f"| member | {DAEMONS:,} members | 2 probes a second "
         f"| {lines['member_us_per_s_by_routers'].at(DAEMONS) / 1e4:.2f}% of a core "
