--- a/packages/ctl/src/tamarack_ctl/configuration_file.py
+++ b/packages/ctl/src/tamarack_ctl/configuration_file.py
@@ -38,7 +38,9 @@
     try:
         content = json.loads(text) if path.endswith(".json") else tomllib.loads(text)
     except ValueError as error:
-        raise FileError([f"{path} cannot be parsed as its extension says: {error}"]) from error
+        raise FileError(
+            [f"{path} cannot be parsed as the format of its extension: {error}"]
+        ) from error
     return _changes(content)
 
 
--- a/packages/router/src/tamarack_router/followed_requests.py
+++ b/packages/router/src/tamarack_router/followed_requests.py
@@ -51,7 +51,7 @@
             self._release(followed.held)
 
     def pop_adoptable(self, answer: StoredAnswer) -> FollowedRequest | None:
-        """Return a request whose run can be read at its endpoint, or None; it follows no longer.
+        """Return a request whose run can be read at its endpoint, or None; it stops following.
 
         Otherwise a caller whose router crashed would get the outcome "unknown", although the
         engine continues the run and can send its stream again.
@@ -66,7 +66,7 @@
     def pop_unclaimed(self, correlation: int) -> HeldRequest | None:
         """Return a request to claim again as its holder no longer has the run, or None.
 
-        The request follows no longer. None is returned if it was claimed again before.
+        The request stops following. None is returned if it was claimed again before.
 
         The holder withdraws a request and frees its key if the caller disconnects before it runs.
         The caller's retry, which followed it, would get the outcome "unknown" though nothing ran.
--- a/packages/router/src/tamarack_router/http_reply.py
+++ b/packages/router/src/tamarack_router/http_reply.py
@@ -37,7 +37,7 @@
 
 
 def error_body(refusal: Refusal) -> bytes:
-    """Build an error body in the form that stock OpenAI clients read."""
+    """Build an error body in the form that stock OpenAI clients parse."""
     error = {
         "message": refusal.message,
         "type": "tamarack_error",
--- a/packages/router/src/tamarack_router/order_task.py
+++ b/packages/router/src/tamarack_router/order_task.py
@@ -126,7 +126,7 @@
                 "POST", url, body=json.dumps(body).encode(), headers=headers
             )
         except urllib3.exceptions.HTTPError:
-            # Whether the order took effect is seen when the engine's state is read next.
+            # The next read of the engine's state shows whether the order took effect.
             self._counts["failed"] += 1
             return
         self._counts["sent" if response.status == 200 else "refused"] += 1
--- a/packages/router/src/tamarack_router/settings.py
+++ b/packages/router/src/tamarack_router/settings.py
@@ -100,7 +100,7 @@
 def _name(text: str) -> str:
     allowed = set("abcdefghijklmnopqrstuvwxyz0123456789-_.")
     if not text or len(text) > 40 or not allowed.issuperset(text):
-        raise ValueError("has 1 to 40 of a-z 0-9 - _ .")
+        raise ValueError("must have 1 to 40 characters of a-z 0-9 - _ .")
     return text
 
 
@@ -109,7 +109,7 @@
     octets = host.split(".")
     numeric = len(octets) == 4 and all(o.isdecimal() and int(o) < 256 for o in octets)
     if not colon or not numeric or not port.isdecimal() or int(port) > 65_535:
-        raise ValueError("is written IP:PORT, with an IP number")
+        raise ValueError("must be an IP address and port, IP:PORT")
     return text
 
 
@@ -123,14 +123,14 @@
 
 def _url(text: str) -> str:
     if not text.startswith(("http://", "https://")):
-        raise ValueError("begins with http:// or https://")
+        raise ValueError("must begin with http:// or https://")
     return text
 
 
 def _integer(low: int, high: int) -> Parser:
     def parse(text: str) -> int:
         if not text.lstrip("-").isdecimal() or not low <= int(text) <= high:
-            raise ValueError(f"is a whole number from {low} to {high}")
+            raise ValueError(f"must be an integer from {low} to {high}")
         return int(text)
 
     return parse
@@ -143,7 +143,7 @@
         except ValueError:
             value = low - 1
         if not low <= value <= high:
-            raise ValueError(f"is a number from {low:g} to {high:g}")
+            raise ValueError(f"must be a number from {low:g} to {high:g}")
         return value
 
     return parse
@@ -152,7 +152,7 @@
 def _one_of(*values: str) -> Parser:
     def parse(text: str) -> str:
         if text not in values:
-            raise ValueError(f"is one of {', '.join(values)}")
+            raise ValueError(f"must be one of {', '.join(values)}")
         return text
 
     return parse
@@ -160,7 +160,7 @@
 
 def _file(text: str) -> str:
     if text and not Path(text).is_file():
-        raise ValueError("names a file that can be read")
+        raise ValueError("must name an existing file")
     return text
 
 
@@ -171,9 +171,9 @@
         if not colon:
             role, secret = "configure", role
         if role not in ROLES:
-            raise ValueError(f"has roles {', '.join(ROLES)}, written ROLE:TOKEN,ROLE:TOKEN")
+            raise ValueError(f"must be ROLE:TOKEN,ROLE:TOKEN with roles {', '.join(ROLES)}")
         if len(secret) < 16:
-            raise ValueError("has tokens of 16 characters or more")
+            raise ValueError("must have tokens of at least 16 characters")
         tokens.append(AdminToken(role, secret))
     return tokens
 
@@ -326,20 +326,22 @@
         try:
             return Path(file_name).read_text().strip()
         except OSError as error:
-            faults.append(SettingsFault(setting.variable, f"its file cannot be read: {error}"))
+            faults.append(SettingsFault(setting.variable, f"cannot be read from its file: {error}"))
             return None
     if setting.default is None:
         where = setting.variable if setting.secret else f"{setting.flag} or {setting.variable}"
-        faults.append(SettingsFault(setting.flag, f"is needed; give {where}"))
+        faults.append(SettingsFault(setting.flag, f"is required; set {where}"))
     return setting.default
 
 
 def _check_pairs(values: dict[str, Any]) -> list[SettingsFault]:
     faults = []
     if bool(values.get("tls_certificate")) != bool(values.get("tls_key")):
-        faults.append(SettingsFault("--tls-key", "goes together with --tls-certificate"))
+        faults.append(SettingsFault("--tls-key", "must be set together with --tls-certificate"))
     if bool(values.get("curve_public")) != bool(values.get("curve_secret")):
-        faults.append(SettingsFault("--curve-public", "goes together with TAMARACK_CURVE_SECRET"))
+        faults.append(
+            SettingsFault("--curve-public", "must be set together with TAMARACK_CURVE_SECRET")
+        )
     return faults
 
 
