--- a/packages/bench/src/tamarack_bench/__main__.py
+++ b/packages/bench/src/tamarack_bench/__main__.py
@@ -45,13 +45,15 @@
     commands.add_parser("list", help="list the scenarios")
     run = commands.add_parser("run", help="run scenarios and check their bounds")
     run.add_argument("scenario", nargs="+", choices=["all", *sorted(SCENARIOS)])
-    run.add_argument("--json", default="", metavar="FILE", help="write the readings; - to print")
+    run.add_argument(
+        "--json", default="", metavar="FILE", help="write the readings to FILE; - prints them"
+    )
     run.add_argument("--deployment", choices=("domandina", "kitami"), default="domandina")
     run.add_argument("--seed", type=int, default=1)
-    run.add_argument("--seconds", type=float, default=8.0, help="length of a steady window")
+    run.add_argument("--seconds", type=float, default=8.0, help="length of a measurement window")
     run.add_argument("--minutes", type=float, default=3.0, help="length of a soak")
     run.add_argument("--log-dir", default="")
-    run.add_argument("--no-bounds", action="store_true", help="measure only")
+    run.add_argument("--no-bounds", action="store_true", help="do not check the bounds")
     compare = commands.add_parser("compare", help="compare two files of readings")
     compare.add_argument("before")
     compare.add_argument("after")
--- a/packages/bench/src/tamarack_bench/accounts.py
+++ b/packages/bench/src/tamarack_bench/accounts.py
@@ -23,7 +23,7 @@
 
 
 class PromiseReport(NamedTuple):
-    """How far the promises to callers were kept, as numbers of requests.
+    """Numbers of requests by outcome, and of violated promises to callers.
 
     Attributes
     ----------
--- a/packages/bench/src/tamarack_bench/config_scenarios.py
+++ b/packages/bench/src/tamarack_bench/config_scenarios.py
@@ -129,7 +129,7 @@
     fleet.set_faults(fleet.platform["address"], [])
 
 
-@scenario("storm", "accepted changes lost or reverted through a storm of racing operators")
+@scenario("storm", "accepted changes lost or reverted under concurrent operators and faults")
 def storm(options: Options) -> Reading:
     """Run four concurrent operators through store faults and router restarts."""
     outcomes = _Storm({}, [], [])
@@ -190,7 +190,7 @@
             seen[router.pid] = version
 
 
-@scenario("config-cost", "what a change costs a router", standard=False)
+@scenario("config-cost", "processor time of a router under continuous changes", standard=False)
 def config_cost(options: Options) -> Reading:
     """Measure a router's processor time under continuous changes."""
     with Fleet(DEPLOYMENTS[options.deployment], 4, log_dir=options.log_dir) as fleet:
--- a/packages/bench/src/tamarack_bench/core_bench.py
+++ b/packages/bench/src/tamarack_bench/core_bench.py
@@ -98,22 +98,22 @@
     slots: int = 64,
     exchange_ms: float = 1_000.0,
     length_ms: float = 50_000.0,
-    count_for_others: bool = True,
-    take_turns: bool = True,
+    estimate_others: bool = True,
+    staggered: bool = True,
     seed: int = 1,
 ) -> GapReading:
     """Serve backlogged workspaces from several shards; return the largest gap.
 
     Parameters
     ----------
-    count_for_others
+    estimate_others
         Whether a shard estimates the others' service since the last exchange.
-    take_turns
+    staggered
         Whether each shard delays a workspace by a different number of grants; without it by none.
     """
     names = [f"w{index}" for index in range(workspaces)]
     fleet = [_Shard(number, shards, slots, names, seed) for number in range(shards)]
-    if not take_turns:
+    if not staggered:
         for shard in fleet:
             for name in names:
                 shard.dispatcher.queue.override(name, stagger=0)
@@ -132,19 +132,19 @@
                 shard.progress(now_ms)
         if shards > 1 and now_ms >= next_exchange_ms:
             next_exchange_ms += exchange_ms
-            _exchange(fleet, count_for_others)
+            _exchange(fleet, estimate_others)
         if now_ms >= WARM_UP_MS:
             gap = max(gap, max(served.values()) - min(served.values()))
     return GapReading(shards, exchange_ms, gap, sum(shard.grants for shard in fleet))
 
 
-def _exchange(fleet: list[_Shard], count_for_others: bool) -> None:
+def _exchange(fleet: list[_Shard], estimate_others: bool) -> None:
     messages = [shard.dispatcher.exchange() for shard in fleet]
     for shard in fleet:
         for message in messages:
             if message.shard != shard.key:
                 shard.dispatcher.merge(message)
-        if not count_for_others:
+        if not estimate_others:
             for name in shard.names:
                 shard.dispatcher.queue.override(name, factor=1.0)
 
@@ -199,7 +199,7 @@
     for reading in (
         measure_gap(1, slots=1024),
         measure_gap(16),
-        measure_gap(16, count_for_others=False),
+        measure_gap(16, estimate_others=False),
     ):
         print(reading)
     for size in (68, 680, 6_800):
--- a/packages/bench/src/tamarack_bench/core_scenarios.py
+++ b/packages/bench/src/tamarack_bench/core_scenarios.py
@@ -8,19 +8,17 @@
 from tamarack_bench.scenarios import Options, Reading, scenario
 
 
-@scenario("core-shards", "gap of 16 shards to the gap of one exact dispatcher")
+@scenario("core-shards", "fairness gap of 16 shards, relative to one exact dispatcher")
 def core_shards(options: Options) -> Reading:
-    """Measure with both turns and counting for others, without turns, and without either."""
+    """Measure with stagger and estimates of other shards, without stagger, and without either."""
     exact = measure_gap(1, slots=1024, seed=options.seed).gap_tokens
     both = measure_gap(16, seed=options.seed).gap_tokens
-    counting = measure_gap(16, take_turns=False, seed=options.seed).gap_tokens
-    neither = measure_gap(
-        16, count_for_others=False, take_turns=False, seed=options.seed
-    ).gap_tokens
+    estimating = measure_gap(16, staggered=False, seed=options.seed).gap_tokens
+    neither = measure_gap(16, estimate_others=False, staggered=False, seed=options.seed).gap_tokens
     figures = {
         "gap_exact_tokens": exact,
         "gap_sharded_tokens": both,
-        "gap_without_turns_tokens": counting,
+        "gap_without_turns_tokens": estimating,
         "gap_without_either_tokens": neither,
         "ratio_to_exact": both / exact,
         "ratio_without_either": neither / exact,
@@ -28,7 +26,7 @@
     return Reading("core-shards", figures)
 
 
-@scenario("core-decisions", "decisions a second of one dispatcher core")
+@scenario("core-decisions", "decisions per second of one dispatcher core")
 def core_decisions(options: Options) -> Reading:
     """Measure at three numbers of workspaces; the best of three runs each."""
     rates = {
@@ -40,7 +38,7 @@
     return Reading("core-decisions", figures)
 
 
-@scenario("membership", "bytes of membership per router and second, by fleet size")
+@scenario("membership", "membership bytes per router and second, by fleet size")
 def membership(options: Options) -> Reading:
     """Count the encoded bytes of idle fleets."""
     readings = {size: measure_membership(size, seed=options.seed) for size in (8, 16, 32, 64)}
@@ -50,7 +48,7 @@
     return Reading("membership", figures, series)
 
 
-@scenario("core-placing", "microseconds to place and admit one generation, by engines")
+@scenario("core-placing", "microseconds to place and admit one generation, by number of engines")
 def core_placing(options: Options) -> Reading:
     """Measure with few and many engines and workspaces; the best of three runs each."""
     sizes = ((9, 16), (45, 30), (78, 60), (156, 60), (156, 6_800))
--- a/packages/bench/src/tamarack_bench/demo.py
+++ b/packages/bench/src/tamarack_bench/demo.py
@@ -1,4 +1,4 @@
-"""The main job in one command: a mixed load, a preset switch, a stop and a kill."""
+"""Demo of a fleet: a mixed load, a preset switch, a graceful stop and a killed router."""
 
 from __future__ import annotations
 
@@ -74,11 +74,16 @@
             lagging = fleet.admin().wait_in_force(version, 10.0)
             console.print(f"Preset [b]peak[/b] is in force everywhere: {not lagging.routers}.")
             time.sleep(SETTLE_S)
-            second = _phase(console, f"{deployment.large[0]} weighs double.")
+            second = _phase(console, f"{deployment.large[0]} has double weight.")
             console.print(f"Stopping {names[1]} gracefully, killing {names[2]}.")
             fleet.processes.signal(names[1], signal.SIGTERM)
             fleet.processes.signal(names[2], signal.SIGKILL)
-            third = _phase(console, "Four routers carry the load." if routers == 6 else "On.")
+            third = _phase(
+                console,
+                "Four routers carry the load."
+                if routers == 6
+                else "The other routers carry the load.",
+            )
         graceful = fleet.processes.wait(names[1]) == 0
         runs = read_runs(fleet)
         model_runs = read_runs(fleet, "model")
--- a/packages/bench/src/tamarack_bench/fair_scenarios.py
+++ b/packages/bench/src/tamarack_bench/fair_scenarios.py
@@ -50,7 +50,7 @@
     return 2 * gap.largest_request + run_ms * per_ms
 
 
-@scenario("fairness", "gap and utilisation against the baselines fcfs and local")
+@scenario("fairness", "fairness gap and utilisation, compared with the baselines fcfs and local")
 def fairness(options: Options) -> Reading:
     """Run the same load under each order of service."""
     figures: dict[str, float] = {}
@@ -99,7 +99,7 @@
     return Reading("kill-dispatcher", _after(summary, event_ms, options.seconds))
 
 
-@scenario("pause-dispatcher", "a dispatcher is stopped past its term and resumed")
+@scenario("pause-dispatcher", "a dispatcher is suspended beyond its term and resumed")
 def pause_dispatcher(options: Options) -> Reading:
     """Suspend the dispatcher's process for longer than every timeout, then resume it."""
     with loaded_fleet(options) as loaded:
@@ -121,9 +121,9 @@
     ]
 
 
-@scenario("flood", "a small workspace's wait beside a flooding one, to its wait alone")
+@scenario("flood", "a small workspace's wait during another's flood, relative to its wait alone")
 def flood(options: Options) -> Reading:
-    """Measure a small workspace's streams alone, then beside a flood."""
+    """Measure a small workspace's streams alone, then during a flood."""
     deployment = DEPLOYMENTS[options.deployment]
     small = deployment.workspaces[-1]
     # Requests run for up to half a second here, so a slot becomes free within that time.
@@ -150,7 +150,7 @@
     return Reading("flood", figures)
 
 
-@scenario("uneven", "all large workspaces on one router, to an even spread")
+@scenario("uneven", "all large workspaces on one router, compared with an even spread")
 def uneven(options: Options) -> Reading:
     """Compare shares and utilisation of the two spreads."""
     deployment = DEPLOYMENTS[options.deployment]
@@ -176,7 +176,7 @@
     return Reading("uneven", figures)
 
 
-@scenario("shards", "several shards of a service, to one")
+@scenario("shards", "several shards of a service, compared with one")
 def shards(options: Options) -> Reading:
     """Run the same load with one shard and with shards of three endpoints."""
     figures: dict[str, float] = {}
--- a/packages/bench/src/tamarack_bench/fleet_run.py
+++ b/packages/bench/src/tamarack_bench/fleet_run.py
@@ -44,7 +44,7 @@
 
 
 def mixed_plans(deployment: Deployment, *, flood: int = 0) -> list[CallerPlan]:
-    """Backlogged workspaces, the first of them flooding, beside small ones."""
+    """Backlogged workspaces, the first of them flooding, and small ones."""
     callers = max(10, model_slots(deployment) // 2)
     large = backlogged_of(deployment)
     plans = []
--- a/packages/bench/src/tamarack_bench/naive_relay.py
+++ b/packages/bench/src/tamarack_bench/naive_relay.py
@@ -1,4 +1,4 @@
-"""Baseline: a thread for each stream that reads chunks from the endpoint and writes them on."""
+"""Baseline relay: one thread per stream forwards the endpoint's chunks to the caller."""
 
 from __future__ import annotations
 
--- a/packages/bench/src/tamarack_bench/order_scenarios.py
+++ b/packages/bench/src/tamarack_bench/order_scenarios.py
@@ -16,7 +16,7 @@
 OTHER_MODEL = "other-model"
 
 
-@scenario("reload", "capacity kept while a preset switch reloads a third of the engines")
+@scenario("reload", "available capacity while a preset switch reloads a third of the engines")
 def reload(options: Options) -> Reading:
     """Switch to a preset that loads another model on every third engine, under load."""
     deployment = DEPLOYMENTS[options.deployment]
--- a/packages/bench/src/tamarack_bench/path_scenarios.py
+++ b/packages/bench/src/tamarack_bench/path_scenarios.py
@@ -101,7 +101,7 @@
     return figures
 
 
-@scenario("direct-vs-router", "what a router adds to streams, beside a naive relay")
+@scenario("direct-vs-router", "latency that a router adds to streams, compared with a naive relay")
 def direct_vs_router(options: Options) -> Reading:
     """Read the same streams directly, through a router and through a thread for each stream."""
     figures = _first_bytes(options)
--- a/packages/bench/src/tamarack_bench/quarantine_scenarios.py
+++ b/packages/bench/src/tamarack_bench/quarantine_scenarios.py
@@ -18,7 +18,9 @@
 SUSPECTS = (0, 10, 10_000)
 
 
-@scenario("quarantine-model", "endpoints ended, and innocent requests quarantined, in a model")
+@scenario(
+    "quarantine-model", "crashed endpoints and unrelated requests quarantined, in a simulation"
+)
 def quarantine_model(options: Options) -> Reading:
     """Simulate two culprits with and without the quarantine, five culprits, and mass failures."""
     unprotected = _simulate(options, ModelOptions(), watching=False)
@@ -40,7 +42,7 @@
     return Reading("quarantine-model", figures)
 
 
-@scenario("quarantine-cost", "microseconds that a request costs, by suspects")
+@scenario("quarantine-cost", "microseconds per request, by number of suspects")
 def quarantine_cost(options: Options) -> Reading:
     """Measure with no, few and as many suspects as the table holds; the best of three runs each."""
     costs = {count: min(_check_us(count) for _ in range(3)) for count in SUSPECTS}
--- a/packages/bench/src/tamarack_bench/soak.py
+++ b/packages/bench/src/tamarack_bench/soak.py
@@ -42,7 +42,7 @@
 
 @fault("router killed")
 def kill_router(loaded: LoadedFleet, rng: random.Random) -> None:
-    """Kill a router and start it again cold."""
+    """Kill a router and restart it without its former state."""
     name = _router(loaded, rng)
     loaded.fleet.processes.signal(name, signal.SIGKILL)
     loaded.fleet.processes.wait(name)
@@ -52,7 +52,7 @@
 
 @fault("router replaced")
 def replace_router(loaded: LoadedFleet, rng: random.Random) -> None:
-    """Stop a router gracefully and start it again."""
+    """Stop a router gracefully and restart it."""
     name = _router(loaded, rng)
     loaded.fleet.processes.signal(name, signal.SIGTERM)
     if loaded.fleet.processes.wait(name, 60.0) != 0:
@@ -99,7 +99,7 @@
 
 @fault("engine killed")
 def kill_engine(loaded: LoadedFleet, rng: random.Random) -> None:
-    """Kill an engine and start it again, without its former state."""
+    """Kill an engine and restart it without its former state."""
     name = _endpoint(loaded, rng, "model")["endpoint"]
     loaded.fleet.processes.signal(name, signal.SIGKILL)
     loaded.fleet.processes.wait(name)
@@ -155,7 +155,7 @@
 
 @fault("endpoint drained")
 def drain_endpoint(loaded: LoadedFleet, rng: random.Random) -> None:
-    """Drain an endpoint and end the drain again."""
+    """Drain an endpoint, then undo the drain."""
     name = _endpoint(loaded, rng, "model")["endpoint"]
     admin = loaded.fleet.admin()
     admin.call("PUT", f"drain/{name}")
--- a/packages/standins/src/tamarack_standins/engine.py
+++ b/packages/standins/src/tamarack_standins/engine.py
@@ -1,6 +1,6 @@
 """Stand-in of a model engine: continuous batching, streams that resume, orders.
 
-Every token tells the request id that it belongs to, so that a crossed answer shows.
+Every token contains the id of its request, so that an answer mixed up with another is detected.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from tamarack_standins.server import make_app, serve
 
 MAX_GENERATIONS = 2_000
-"""Generations kept for resumption; beyond these the oldest finished ones are dropped."""
+"""Maximum number of generations kept for resumption; the oldest finished ones are dropped."""
 
 PREFILL_TOKENS_PER_STEP = 512
 PREFIX_CHARACTERS = 256
--- a/packages/standins/src/tamarack_standins/plain_service.py
+++ b/packages/standins/src/tamarack_standins/plain_service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service: some of its operations must not be repeated."""
+"""Stand-in of a plain service; some of its operations are not idempotent."""
 
 from __future__ import annotations
 
--- a/packages/standins/src/tamarack_standins/platform_server.py
+++ b/packages/standins/src/tamarack_standins/platform_server.py
@@ -1,4 +1,4 @@
-"""One process that stands in for the platform's services."""
+"""Stand-in of the platform's services, in one process."""
 
 from __future__ import annotations
 
--- a/packages/standins/src/tamarack_standins/platform_soak.py
+++ b/packages/standins/src/tamarack_standins/platform_soak.py
@@ -1,11 +1,11 @@
-"""A seeded soak of the platform's path: real routers as processes, faults from outside them.
+"""Seeded soak test of the platform's path: real router processes with injected faults.
 
 Routers are killed, stopped, paused and restarted by signals, singly, all at once and in turn; their
-connections to the store and to workers are delayed, reset, cut one way and silenced by proxies; the
-store falls silent, refuses, loses answers and forgets its history; workers fail in all their ways,
-leave, are replaced and start again under their names; requests end the workers that run them; keys
-are taken away; rows are overwritten with what cannot be read. Callers and workers check the
-promises meanwhile.
+connections to the store and to workers are delayed, reset, or blocked in one or both directions by
+proxies; the store stops responding, refuses calls, loses answers and drops its history; workers
+fail in every scripted way, leave, are replaced and restart under their names; requests crash the
+workers that run them; keys are revoked; rows are overwritten with invalid values. Meanwhile,
+callers and workers check the promises.
 """
 
 from __future__ import annotations
@@ -92,7 +92,7 @@
         self._calls = SoakCalls(self.random, self.counts, self.broken)
 
     async def run(self) -> None:
-        """Play the seed; broken promises are added to `broken`."""
+        """Run the seed; broken promises are added to `broken`."""
         async with self._stack:
             await self._stack.enter_async_context(self._store)
             await self._configure()
@@ -291,7 +291,7 @@
         await self._publish(service, worker, link)
 
     async def _write_badly(self) -> None:
-        """Overwrite a worker's entry, add one, or spoil the configuration, as a foreign writer."""
+        """Overwrite or add a worker's entry, or corrupt the configuration, as a foreign writer."""
         service, worker, link = self.random.choice(self._workers)
         entry = {**worker.entry(service), "address": link.address}
         bad: tuple[Any, ...] = (
@@ -336,8 +336,8 @@
             await asyncio.sleep(0.05)
 
 
-def play(seed: int, seconds: float, *, routers: int = ROUTERS, ends_only: bool = False) -> Soak:
-    """Play one seed; return the soak with its counts and broken promises."""
+def run_seed(seed: int, seconds: float, *, routers: int = ROUTERS, ends_only: bool = False) -> Soak:
+    """Run one seed; return the soak with its counts and broken promises."""
     with tempfile.TemporaryDirectory() as folder:
         soak = Soak(seed, seconds, Path(folder), routers=routers, ends_only=ends_only)
         whole = False
@@ -358,7 +358,7 @@
 
 
 def main() -> int:
-    """Play seeds from the command line."""
+    """Run seeds from the command line."""
     # On SIGTERM the soak still terminates its routers. Orphaned routers would hold addresses and
     # call a store port that a worker of a later run may have.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_TERMINATED))
@@ -370,12 +370,12 @@
     parser.add_argument(
         "--ends-only",
         action="store_true",
-        help="no fault but requests that end workers, and all routers killed once",
+        help="no faults except requests that crash workers, and one kill of all routers",
     )
     arguments = parser.parse_args()
     failed = 0
     for seed in range(arguments.first, arguments.first + arguments.seeds):
-        soak = play(
+        soak = run_seed(
             seed,
             arguments.seconds,
             routers=arguments.routers,
--- a/packages/standins/src/tamarack_standins/soak_crashes.py
+++ b/packages/standins/src/tamarack_standins/soak_crashes.py
@@ -33,7 +33,7 @@
 
 
 class CrashCounts:
-    """Counts how often such requests reached workers, and how often too late.
+    """Counts the arrivals of such requests at workers, and the late ones among them.
 
     Parameters
     ----------
--- a/packages/standins/src/tamarack_standins/soak_routers.py
+++ b/packages/standins/src/tamarack_standins/soak_routers.py
@@ -86,7 +86,7 @@
                     await asyncio.sleep(0.05)
 
     async def kill(self) -> None:
-        """Kill one router and start it again."""
+        """Kill one router and restart it."""
         picked = self._pick_alive()
         if picked is not None:
             number, process = picked
@@ -95,7 +95,7 @@
             await self._restart(number, process)
 
     async def kill_all(self) -> None:
-        """Kill all routers at once and start them again."""
+        """Kill all routers at once and restart them."""
         alive = [(n, p) for n, p in self._processes.items() if p.returncode is None]
         for _, process in alive:
             send_signal(process, signal.SIGKILL)
@@ -104,7 +104,7 @@
             await self._restart(number, process)
 
     async def terminate(self) -> None:
-        """Stop one router by SIGTERM, and start it again."""
+        """Stop one router by SIGTERM and restart it."""
         picked = self._pick_alive()
         if picked is not None:
             await self._stop(*picked)
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tamarack_standins.platform_soak import play
+from tamarack_standins.platform_soak import run_seed
 from tamarack_standins.soak_routers import SoakRouters
 
 SECONDS = 4.0
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("seed", [1, 3])
 def test_the_promises_hold_in_a_short_soak(seed: int) -> None:
-    soak = play(seed, SECONDS)
+    soak = run_seed(seed, SECONDS)
     assert soak.broken == []
     assert soak.counts["200"] > 0
 
@@ -33,7 +33,7 @@
     six routers the requests crashed 65 and 63 workers in 24 s and reached workers 18 and 15 times
     after the kill.
     """
-    soak = play(7, 12.0, ends_only=True)
+    soak = run_seed(7, 12.0, ends_only=True)
     assert soak.broken == []
     assert soak.counts["200"] > 0
     assert soak.counts["workers ended"] >= 6
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -33,27 +33,29 @@
     def __init__(self, *, tries: bool = True) -> None:
         self.now_ms = 1_000.0
         self.quarantine = Quarantine(lambda fingerprint: tries)
-        self._lives = 0
+        self._crashes = 0
 
-    def end(self, *aboard: str, late: tuple[str, ...] = (), together: bool = False) -> list[str]:
+    def crash(
+        self, *aboard: str, long_running: tuple[str, ...] = (), together: bool = False
+    ) -> list[str]:
         """Crash an endpoint with the given requests; returns those quarantined by the decision."""
-        self._lives += 1
+        self._crashes += 1
         requests = [InterruptedRequest(f, "shop", True) for f in aboard] + [
-            InterruptedRequest(f, "shop", False) for f in late
+            InterruptedRequest(f, "shop", False) for f in long_running
         ]
-        end = Termination(f"e{self._lives}", self._lives, together, requests)
+        end = Termination(f"e{self._crashes}", self._crashes, together, requests)
         self.quarantine.ended(end, self.now_ms)
         self.now_ms += SETTLE_MS
         return [decision.fingerprint for decision in self.quarantine.decide_due(self.now_ms)]
 
-    def look(self, fingerprint: str, workspace: str = "shop") -> Treatment:
+    def treatment(self, fingerprint: str, workspace: str = "shop") -> Treatment:
         return self.quarantine.treatment_of(fingerprint, workspace, self.now_ms).treatment
 
 
 # simulated fleet
 
 
-def play(**options: object) -> ModelResult:
+def simulate(**options: object) -> ModelResult:
     return QuarantineModel(ModelOptions(**options)).run()  # type: ignore[arg-type]
 
 
@@ -71,7 +73,7 @@
     interrupts some 30 others, which are retried and meet the next crash. The first failure results
     if no evidence is kept, the second if every request that met three crashes is quarantined.
     """
-    result = play(
+    result = simulate(
         routers=routers,
         engines=engines,
         per_s=per_s,
@@ -92,14 +94,14 @@
     Half of the engines crash five times in a row; callers retry at once and meet each of these
     crashes, which must not count like crashes caused by a request.
     """
-    result = play(culprits=0, failures_ms=MASS_MS, seconds=25.0, seed=seed)
+    result = simulate(culprits=0, failures_ms=MASS_MS, seconds=25.0, seed=seed)
     assert result.quarantined == 0
     assert result.served > 0.99
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
 def test_a_culprit_is_found_among_repeats_of_a_popular_request(seed: int) -> None:
-    result = play(culprits=1, hot_fraction=0.3, seconds=20.0, seed=seed)
+    result = simulate(culprits=1, hot_fraction=0.3, seconds=20.0, seed=seed)
     assert max(result.late_arrivals) <= LATE_MOST
     assert result.quarantined == 0
 
@@ -138,30 +140,30 @@
 
 def test_a_single_crash_quarantines_no_request() -> None:
     steps = Steps()
-    assert steps.end("a", "b", "c") == []
-    assert steps.look("a") is Treatment.FREE
+    assert steps.crash("a", "b", "c") == []
+    assert steps.treatment("a") is Treatment.FREE
 
 
 def test_the_only_suspect_at_its_third_crash_is_quarantined() -> None:
     steps = Steps()
-    assert steps.end("a", "b") == []
-    assert steps.end("a", "c") == []
-    assert steps.look("a") is Treatment.APART
-    assert steps.look("b") is Treatment.FREE
-    assert steps.end("a", "d") == ["a"]
-    assert steps.look("a") is Treatment.QUARANTINED
-    assert steps.look("d") is Treatment.FREE
+    assert steps.crash("a", "b") == []
+    assert steps.crash("a", "c") == []
+    assert steps.treatment("a") is Treatment.APART
+    assert steps.treatment("b") is Treatment.FREE
+    assert steps.crash("a", "d") == ["a"]
+    assert steps.treatment("a") is Treatment.QUARANTINED
+    assert steps.treatment("d") is Treatment.FREE
 
 
 def test_two_suspects_at_one_crash_are_not_quarantined_until_one_is_alone() -> None:
     steps = Steps()
-    steps.end("a", "b")
-    steps.end("a", "b")
-    assert steps.end("a", "b") == []
-    assert steps.end("a") == ["a"]
-    assert steps.look("b") is Treatment.APART
+    steps.crash("a", "b")
+    steps.crash("a", "b")
+    assert steps.crash("a", "b") == []
+    assert steps.crash("a") == ["a"]
+    assert steps.treatment("b") is Treatment.APART
     assert steps.quarantine.answered("b")
-    assert steps.look("b") is Treatment.FREE
+    assert steps.treatment("b") is Treatment.FREE
 
 
 def test_two_suspects_that_always_meet_are_both_quarantined_eventually() -> None:
@@ -170,7 +172,7 @@
     decisions: list[str] = []
     ends = 0
     while not decisions:
-        decisions = steps.end("a", "b")
+        decisions = steps.crash("a", "b")
         ends += 1
     assert sorted(decisions) == ["a", "b"]
     assert ends <= 6
@@ -178,34 +180,34 @@
 
 def test_an_answer_also_clears_from_undecided_crashes() -> None:
     steps = Steps()
-    steps.end("a")
-    steps.end("a")
+    steps.crash("a")
+    steps.crash("a")
     steps.quarantine.ended(
         Termination("e9", 9, False, [InterruptedRequest("a", "shop", True)]), steps.now_ms
     )
-    assert steps.look("a") is Treatment.WAIT
+    assert steps.treatment("a") is Treatment.WAIT
     assert steps.quarantine.answered("a")
     assert steps.quarantine.decide_due(steps.now_ms + SETTLE_MS) == []
-    assert steps.look("a") is Treatment.FREE
+    assert steps.treatment("a") is Treatment.FREE
     assert not steps.quarantine.watching
 
 
 def test_a_long_running_request_counts_less_beside_a_new_one() -> None:
     steps = Steps()
     for number in range(QuarantineBounds().ends):
-        steps.end(f"new{number}", late=("old",))
-    assert steps.look("old") is Treatment.FREE
+        steps.crash(f"new{number}", long_running=("old",))
+    assert steps.treatment("old") is Treatment.FREE
 
 
 def test_a_request_that_crashes_endpoints_late_is_quarantined_if_it_was_alone() -> None:
     steps = Steps()
-    decisions = [steps.end(late=("old",)) for _ in range(3)]
+    decisions = [steps.crash(long_running=("old",)) for _ in range(3)]
     assert decisions == [[], [], ["old"]]
 
 
 def test_coinciding_crashes_quarantine_no_request() -> None:
     steps = Steps()
-    assert [steps.end("a", together=True) for _ in range(5)] == [[]] * 5
+    assert [steps.crash("a", together=True) for _ in range(5)] == [[]] * 5
 
 
 def test_reports_of_several_routers_count_as_one_crash() -> None:
@@ -229,13 +231,13 @@
 
 def test_a_repeat_waits_while_a_suspect_runs_isolated() -> None:
     steps = Steps()
-    steps.end("a")
-    steps.end("a")
+    steps.crash("a")
+    steps.crash("a")
     key = EndpointIncarnation("e7", 7)
     steps.quarantine.begun("a", key)
-    assert steps.look("a") is Treatment.WAIT
+    assert steps.treatment("a") is Treatment.WAIT
     steps.quarantine.finished("a", key)
-    assert steps.look("a") is Treatment.APART
+    assert steps.treatment("a") is Treatment.APART
 
 
 def test_suspects_run_at_different_endpoints() -> None:
@@ -256,40 +258,40 @@
     """
     steps = Steps()
     for _ in range(3):
-        steps.end("a")
+        steps.crash("a")
     pauses = []
     for _ in range(5):
         since_ms = steps.now_ms
-        while steps.look("a") is Treatment.QUARANTINED:
+        while steps.treatment("a") is Treatment.QUARANTINED:
             steps.now_ms += 1_000.0
         pauses.append(steps.now_ms - since_ms)
-        assert steps.look("a") is Treatment.QUARANTINED, "one trial at a time"
-        assert steps.end("a", "beside") == ["a"]
-        assert steps.look("beside") is Treatment.FREE
+        assert steps.treatment("a") is Treatment.QUARANTINED, "one trial at a time"
+        assert steps.crash("a", "beside") == ["a"]
+        assert steps.treatment("beside") is Treatment.FREE
     assert pauses[0] <= QuarantineBounds().first_pause_ms
     assert all(after >= 4 * before for before, after in zip(pauses, pauses[1:4], strict=False))
     assert max(pauses) <= LONGEST_PAUSE_MS
-    while steps.look("a") is Treatment.QUARANTINED:
+    while steps.treatment("a") is Treatment.QUARANTINED:
         steps.now_ms += 60_000.0
     assert steps.quarantine.answered("a")
-    assert steps.look("a") is Treatment.FREE
+    assert steps.treatment("a") is Treatment.FREE
 
 
 def test_only_one_router_tries_a_quarantined_request() -> None:
     steps = Steps(tries=False)
     for _ in range(3):
-        steps.end("a")
+        steps.crash("a")
     steps.now_ms += 10 * LONGEST_PAUSE_MS
-    assert steps.look("a") is Treatment.QUARANTINED
+    assert steps.treatment("a") is Treatment.QUARANTINED
 
 
 def test_requests_of_a_workspace_with_many_culprits_are_isolated_at_once() -> None:
     steps = Steps()
     for number in range(MANY_QUARANTINED):
         steps.quarantine.add(QuarantinedRequest(f"f{number}", "shop", 0), steps.now_ms)
-    assert steps.look("new") is Treatment.APART
-    assert steps.look("new", "another") is Treatment.FREE
-    assert steps.end("new") == ["new"]
+    assert steps.treatment("new") is Treatment.APART
+    assert steps.treatment("new", "another") is Treatment.FREE
+    assert steps.crash("new") == ["new"]
 
 
 def test_only_requests_deleted_from_the_store_are_released() -> None:
@@ -297,17 +299,17 @@
     steps.quarantine.add(QuarantinedRequest("stored", "shop", 0), steps.now_ms, stored=True)
     steps.quarantine.add(QuarantinedRequest("told", "shop", 0), steps.now_ms)
     assert steps.quarantine.retain_stored(set()) == ["stored"]
-    assert steps.look("told") is Treatment.QUARANTINED
+    assert steps.treatment("told") is Treatment.QUARANTINED
     assert steps.quarantine.unstored() == [QuarantinedRequest("told", "shop", 0)]
 
 
 def test_a_suspect_expires() -> None:
     steps = Steps()
-    steps.end("a")
-    steps.end("a")
+    steps.crash("a")
+    steps.crash("a")
     steps.now_ms += FORGET_MS + 1.0
-    steps.end("b")
-    assert steps.look("a") is Treatment.FREE
+    steps.crash("b")
+    assert steps.treatment("a") is Treatment.FREE
 
 
 def test_a_workspace_evicts_only_its_own_entries() -> None:
@@ -319,7 +321,7 @@
     steps.quarantine.add(QuarantinedRequest("kept", "small", 0), steps.now_ms)
     for number in range(10_000):
         steps.quarantine.add(QuarantinedRequest(f"f{number}", "flood", 0), steps.now_ms)
-    assert steps.look("kept", "small") is Treatment.QUARANTINED
+    assert steps.treatment("kept", "small") is Treatment.QUARANTINED
     assert len(steps.quarantine.entries(steps.now_ms)) == 1 + MOST_QUARANTINED_OF_ONE
     assert len(steps.quarantine.evicted) == 10_000 - MOST_QUARANTINED_OF_ONE
     requests = [InterruptedRequest(f"s{number}", "flood", True) for number in range(10_000)]
