--- a/packages/client/src/tamarack_client/address_book.py
+++ b/packages/client/src/tamarack_client/address_book.py
@@ -9,7 +9,7 @@
 
 import urllib3
 
-ASK_TIMEOUT = urllib3.Timeout(connect=0.5, read=1.0)
+QUERY_TIMEOUT = urllib3.Timeout(connect=0.5, read=1.0)
 AVOID_S = 2.0
 """Seconds for which an address that failed is tried only after the others."""
 
@@ -93,7 +93,7 @@
         url = f"{self._scheme}://{address}/v1/addresses"
         try:
             response = self._http.request(
-                "GET", url, headers=self._headers, timeout=ASK_TIMEOUT, retries=False
+                "GET", url, headers=self._headers, timeout=QUERY_TIMEOUT, retries=False
             )
             if response.status != 200:
                 return None
--- a/packages/router/src/tamarack_router/settings.py
+++ b/packages/router/src/tamarack_router/settings.py
@@ -171,7 +171,7 @@
         if not colon:
             role, secret = "configure", role
         if role not in ROLES:
-            raise ValueError(f"must be ROLE:TOKEN,ROLE:TOKEN with roles {', '.join(ROLES)}")
+            raise ValueError(f"must have roles {', '.join(ROLES)}, as ROLE:TOKEN,ROLE:TOKEN")
         if len(secret) < 16:
             raise ValueError("must have tokens of at least 16 characters")
         tokens.append(AdminToken(role, secret))
--- a/packages/router/src/tamarack_router/stored_answer.py
+++ b/packages/router/src/tamarack_router/stored_answer.py
@@ -7,7 +7,7 @@
 
 from tamarack_core.errors import Refusal
 
-ANSWER_OVERHEAD = 512
+ANSWER_OVERHEAD_BYTES = 512
 
 
 class AnswerState(StrEnum):
@@ -55,7 +55,7 @@
     @property
     def size(self) -> int:
         """Approximate memory use in bytes."""
-        return len(self.body) + ANSWER_OVERHEAD
+        return len(self.body) + ANSWER_OVERHEAD_BYTES
 
     def begin(self, status: int, content_type: str) -> None:
         """Record status and content type."""
