--- a/packages/router/src/tamarack_router/settings.py
+++ b/packages/router/src/tamarack_router/settings.py
@@ -100,7 +100,7 @@
 def _name(text: str) -> str:
     allowed = set("abcdefghijklmnopqrstuvwxyz0123456789-_.")
     if not text or len(text) > 40 or not allowed.issuperset(text):
-        raise ValueError("has 1 to 40 of a-z 0-9 - _ .")
+        raise ValueError("must have 1 to 40 characters of a-z 0-9 - _ .")
     return text
 
 
@@ -109,7 +109,7 @@
     octets = host.split(".")
     numeric = len(octets) == 4 and all(o.isdecimal() and int(o) < 256 for o in octets)
     if not colon or not numeric or not port.isdecimal() or int(port) > 65_535:
-        raise ValueError("is written IP:PORT, with an IP number")
+        raise ValueError("must be an IP address and port, IP:PORT")
     return text
 
 
@@ -123,14 +123,14 @@
 
 def _url(text: str) -> str:
     if not text.startswith(("http://", "https://")):
-        raise ValueError("begins with http:// or https://")
+        raise ValueError("must begin with http:// or https://")
     return text
 
 
 def _integer(low: int, high: int) -> Parser:
     def parse(text: str) -> int:
         if not text.lstrip("-").isdecimal() or not low <= int(text) <= high:
-            raise ValueError(f"is a whole number from {low} to {high}")
+            raise ValueError(f"must be an integer from {low} to {high}")
         return int(text)
 
     return parse
@@ -143,7 +143,7 @@
         except ValueError:
             value = low - 1
         if not low <= value <= high:
-            raise ValueError(f"is a number from {low:g} to {high:g}")
+            raise ValueError(f"must be a number from {low:g} to {high:g}")
         return value
 
     return parse
@@ -152,7 +152,7 @@
 def _one_of(*values: str) -> Parser:
     def parse(text: str) -> str:
         if text not in values:
-            raise ValueError(f"is one of {', '.join(values)}")
+            raise ValueError(f"must be one of {', '.join(values)}")
         return text
 
     return parse
@@ -160,7 +160,7 @@
 
 def _file(text: str) -> str:
     if text and not Path(text).is_file():
-        raise ValueError("names a file that can be read")
+        raise ValueError("must name an existing file")
     return text
 
 
@@ -171,9 +171,9 @@
         if not colon:
             role, secret = "configure", role
         if role not in ROLES:
-            raise ValueError(f"has roles {', '.join(ROLES)}, written ROLE:TOKEN,ROLE:TOKEN")
+            raise ValueError(f"must have roles {', '.join(ROLES)}, as ROLE:TOKEN,ROLE:TOKEN")
         if len(secret) < 16:
-            raise ValueError("has tokens of 16 characters or more")
+            raise ValueError("must have tokens of at least 16 characters")
         tokens.append(AdminToken(role, secret))
     return tokens
 
@@ -189,26 +189,41 @@
         "peer_advertise",
         _optional_address,
         "",
-        "address that other routers are told, if it is not the one listened on",
+        "address advertised to other routers, if it differs from peer-listen",
     ),
-    Setting("peer", _addresses, "", "peer addresses of other routers, comma between"),
+    Setting("peer", _addresses, "", "peer addresses of other routers, comma-separated"),
     Setting("platform", _url, None, "base URL of the platform's services"),
     Setting("threads", _integer(2, 512), "8", "threads that read callers' requests"),
     Setting("admin_threads", _integer(1, 64), "4", "threads for operators, and for metrics"),
-    Setting("max_held", _integer(1, 100_000), "2000", "requests held at most"),
+    Setting("max_held", _integer(1, 100_000), "2000", "maximum number of requests held"),
     Setting(
-        "share_alpha", _number(0.01, 100), "1", "part of the free room that a workspace may hold"
+        "share_alpha",
+        _number(0.01, 100),
+        "1",
+        "multiple of the free request capacity that a workspace may hold",
+    ),
+    Setting(
+        "max_body_bytes", _integer(1_024, 100_000_000), "1000000", "maximum size of a request body"
+    ),
+    Setting("send_ms", _integer(50, 600_000), "10000", "time limit for a caller to send a request"),
+    Setting("address_ttl_ms", _integer(100, 600_000), "5000", "how long callers cache addresses"),
+    Setting(
+        "config_poll_ms",
+        _integer(50, 60_000),
+        "1000",
+        "how often the configuration's head is polled",
+    ),
+    Setting(
+        "load_poll_ms", _integer(50, 60_000), "500", "how often the load of endpoints is polled"
     ),
-    Setting("max_body_bytes", _integer(1_024, 100_000_000), "1000000", "longest body of a call"),
-    Setting("send_ms", _integer(50, 600_000), "10000", "longest time for a caller to send a call"),
-    Setting("address_ttl_ms", _integer(100, 600_000), "5000", "how long callers keep addresses"),
-    Setting("config_poll_ms", _integer(50, 60_000), "1000", "how often the head is read"),
-    Setting("load_poll_ms", _integer(50, 60_000), "500", "how often endpoints are asked for load"),
     Setting(
         "order_interval_ms", _integer(50, 60_000), "500", "how often the orderer compares engines"
     ),
     Setting(
-        "stream_silence_ms", _integer(50, 600_000), "1500", "silence after which a stream resumes"
+        "stream_silence_ms",
+        _integer(50, 600_000),
+        "1500",
+        "silence after which a stream is resumed",
     ),
     Setting(
         "whole_silence_ms",
@@ -216,11 +231,9 @@
         "6000",
         "the same for answers that are not streams",
     ),
-    Setting(
-        "answer_memory_bytes", _integer(0, 10**10), "48000000", "memory for answers that are kept"
-    ),
-    Setting("answer_lifetime_ms", _integer(0, 86_400_000), "120000", "how long answers are kept"),
-    Setting("shard_size", _integer(1, 4_096), "64", "endpoints that one dispatcher serves at most"),
+    Setting("answer_memory_bytes", _integer(0, 10**10), "48000000", "memory for stored answers"),
+    Setting("answer_lifetime_ms", _integer(0, 86_400_000), "120000", "how long answers are stored"),
+    Setting("shard_size", _integer(1, 4_096), "64", "maximum number of endpoints per dispatcher"),
     Setting("exchange_ms", _integer(50, 60_000), "1000", "how often shards exchange counters"),
     Setting(
         "policy",
@@ -231,15 +244,13 @@
     Setting(
         "switch_interval_us", _integer(50, 100_000), "2000", "interpreter's thread switch interval"
     ),
-    Setting("trace", _one_of("off", "stderr", "otlp"), "off", "where traces go"),
-    Setting("trace_address", _text, "http://127.0.0.1:4318/v1/traces", "URL for otlp"),
-    Setting("trace_sample", _number(0, 1), "0.01", "part of traces kept"),
-    Setting(
-        "log_level", _one_of("debug", "info", "warning", "error"), "info", "least level logged"
-    ),
-    Setting("tls_certificate", _file, "", "PEM file; with tls-key, listeners speak TLS"),
+    Setting("trace", _one_of("off", "stderr", "otlp"), "off", "destination of traces"),
+    Setting("trace_address", _text, "http://127.0.0.1:4318/v1/traces", "URL of the OTLP collector"),
+    Setting("trace_sample", _number(0, 1), "0.01", "fraction of traces that are recorded"),
+    Setting("log_level", _one_of("debug", "info", "warning", "error"), "info", "minimum log level"),
+    Setting("tls_certificate", _file, "", "PEM file; with tls-key, listeners use TLS"),
     Setting("tls_key", _file, "", "PEM file of the certificate's private key"),
-    Setting("curve_public", _text, "", "fleet's public key; with its secret, peers speak CURVE"),
+    Setting("curve_public", _text, "", "fleet's public key; with its secret, peers use CURVE"),
     Setting("admin_tokens", _tokens, None, "operators' tokens, ROLE:TOKEN,...", True),
     Setting("curve_secret", _text, "", "fleet's secret key", True),
 ]
@@ -250,7 +261,7 @@
     parser = argparse.ArgumentParser(
         prog="tamarackd",
         description="Router of a tamarackturn fleet. Every flag has an environment variable.",
-        epilog="Exit codes: 0 stopped as asked, 1 failed, 2 settings are wrong.",
+        epilog="Exit codes: 0 stopped on request, 1 failed, 2 invalid settings.",
     )
     for setting in SETTINGS:
         if setting.secret:
@@ -262,8 +273,8 @@
     parser.add_argument(
         "--print-settings",
         action="store_true",
-        help=f"print the settings without secrets and exit; secrets come by environment only, "
-        f"or by a file named in the variable with _FILE behind it: {secrets}",
+        help=f"print the settings without secrets and exit; secrets are read from the "
+        f"environment only, or from a file named by the variable with the suffix _FILE: {secrets}",
     )
     return parser
 
@@ -315,20 +326,22 @@
         try:
             return Path(file_name).read_text().strip()
         except OSError as error:
-            faults.append(SettingsFault(setting.variable, f"its file cannot be read: {error}"))
+            faults.append(SettingsFault(setting.variable, f"cannot be read from its file: {error}"))
             return None
     if setting.default is None:
         where = setting.variable if setting.secret else f"{setting.flag} or {setting.variable}"
-        faults.append(SettingsFault(setting.flag, f"is needed; give {where}"))
+        faults.append(SettingsFault(setting.flag, f"is required; set {where}"))
     return setting.default
 
 
 def _check_pairs(values: dict[str, Any]) -> list[SettingsFault]:
     faults = []
     if bool(values.get("tls_certificate")) != bool(values.get("tls_key")):
-        faults.append(SettingsFault("--tls-key", "goes together with --tls-certificate"))
+        faults.append(SettingsFault("--tls-key", "must be set together with --tls-certificate"))
     if bool(values.get("curve_public")) != bool(values.get("curve_secret")):
-        faults.append(SettingsFault("--curve-public", "goes together with TAMARACK_CURVE_SECRET"))
+        faults.append(
+            SettingsFault("--curve-public", "must be set together with TAMARACK_CURVE_SECRET")
+        )
     return faults
 
 
