--- a/packages/gateway/src/tamarack_gateway/fleet_state.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_state.py
@@ -15,7 +15,7 @@
 from tamarack_core.quarantine import Quarantine
 from tamarack_core.quarantine_records import USUAL_BOUNDS, QuarantineBounds
 from tamarack_core.retry_allowance import RetryAllowance
-from tamarack_core.return_detector import RetryDetector
+from tamarack_core.retry_detector import RetryDetector
 from tamarack_core.ruleset import CallerBounds, Ruleset
 from tamarack_core.service_shares import ServiceShares
 from tamarack_core.service_times import ServiceTimes
--- a/tests/test_gateway_core.py
+++ b/tests/test_gateway_core.py
@@ -13,7 +13,7 @@
 from tamarack_core.placement import choose_engine, choose_plain
 from tamarack_core.prompt import PrefixBlock, Prompt, blocks_of
 from tamarack_core.retry_allowance import RetryAllowance
-from tamarack_core.return_detector import RetryDetector
+from tamarack_core.retry_detector import RetryDetector
 from tamarack_core.ruleset import RequestKind, Route, Ruleset, ServiceShare
 from tamarack_core.workspace_shares import WorkspaceShares
 from tamarack_gateway.event_splitter import BadStreamError, EventSplitter
