--- a/packages/bench/src/tamarack_bench/placement_bench.py
+++ b/packages/bench/src/tamarack_bench/placement_bench.py
@@ -5,7 +5,7 @@
 import random
 import time
 
-from tamarack_core.admitted_placement import Engines, Terms, place_admitted
+from tamarack_core.admitted_placement import Engines, LatencyRequirements, place_admitted
 from tamarack_core.endpoint_record import EndpointRecord
 from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.engine_model import EngineModel
@@ -18,7 +18,7 @@
 DECISIONS = 400
 TOKENS_PER_S = 1_700_000.0
 WINDOW_MS = 4_000.0
-TERMS = Terms(800.0, 800.0, 0.0, 8_000.0, False, 0.5)
+TERMS = LatencyRequirements(800.0, 800.0, 0.0, 8_000.0, False, 0.5)
 
 
 def measure_placing(engines: int, workspaces: int, *, seed: int) -> float:
--- a/packages/bench/src/tamarack_bench/quarantine_scenarios.py
+++ b/packages/bench/src/tamarack_bench/quarantine_scenarios.py
@@ -7,7 +7,7 @@
 from tamarack_bench.quarantine_model import ModelOptions, ModelResult, QuarantineModel
 from tamarack_bench.scenarios import Options, Reading, scenario
 from tamarack_core.fingerprint import fingerprint
-from tamarack_core.quarantine import SETTLE_MS, Quarantine
+from tamarack_core.quarantine import DECISION_DELAY_MS, Quarantine
 from tamarack_core.termination_evidence import InterruptedRequest, Termination
 
 SEEDS = 5
@@ -64,9 +64,11 @@
     for number in range(suspects):
         # Spread over workspaces, as the table bounds the suspects of each.
         aboard = [InterruptedRequest(f"f{number}", f"w{number % 100}", True)]
-        quarantine.ended(Termination(f"e{number}", number, False, aboard), number * SETTLE_MS)
-        quarantine.decide_due((number + 1) * SETTLE_MS)
-    now_ms = suspects * SETTLE_MS
+        quarantine.ended(
+            Termination(f"e{number}", number, False, aboard), number * DECISION_DELAY_MS
+        )
+        quarantine.decide_due((number + 1) * DECISION_DELAY_MS)
+    now_ms = suspects * DECISION_DELAY_MS
     started = time.perf_counter()
     for number in range(CHECKS):
         if quarantine.watching:
--- a/packages/core/src/tamarack_core/admission.py
+++ b/packages/core/src/tamarack_core/admission.py
@@ -1,6 +1,6 @@
 """Admission control: send a generation to its engine now, queue it at the router or refuse it.
 
-Engines serve requests in order of arrival, so a request that was sent delays every later one,
+Engines serve requests in order of arrival, so each request sent to one delays every later one,
 whatever its latency target. Requests that can wait are therefore queued at the router, and the
 queue of an engine stays as short as the route with the shortest latency target needs it.
 """
@@ -23,13 +23,13 @@
 
 LEAD_EXPONENT = 6.0
 """Exponent by which the bound falls with the lead, the service relative to the least-served
-backlogged workspace. It is steep, so that the least-served one is admitted first as soon as it is
-behind."""
+backlogged workspace. It is steep, so that the least-served one is admitted first even when the
+difference is small."""
 
 STANDING_EXPONENT = 2.0
 """Exponent by which the bound falls with the standing, the service received relative to the fair
-share. With an exponent of one, a workspace at five times its share keeps another at three times
-from the half of that service which it is owed."""
+share. With an exponent of one, a workspace at five times its share takes service to which another
+at three times is entitled, an equal half of their total."""
 
 STANDING_CAP = 3.0
 """Standing beyond which the bound falls no further; above it only the lead distinguishes
@@ -44,7 +44,7 @@
 demand."""
 
 IDLE_FRACTION_RELAXED = 0.4
-"""Fraction of idle engines from which on a workspace's excess over its share is ignored, since
+"""Fraction of idle engines from which a workspace's excess over its share is ignored, since
 refusing it would help nobody. Below this fraction the excess counts in proportion, so that queues
 shorten as engines fill up. With a small fraction, one idle engine of six would relax the limit for
 all, and every prompt recomputed there would take the engine from requests with cached prefixes."""
--- a/packages/core/src/tamarack_core/admitted_placement.py
+++ b/packages/core/src/tamarack_core/admitted_placement.py
@@ -15,7 +15,7 @@
 from tamarack_core.endpoint_record import EndpointRecord
 from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.engine_model import EngineModel
-from tamarack_core.placement import IDLE_ENGINE_QUEUE_MS, Choice, choose_engine, choose_free
+from tamarack_core.placement import IDLE_ENGINE_QUEUE_MS, Choice, choose_engine, choose_idle
 from tamarack_core.prompt import Prompt
 from tamarack_core.workspace_shares import Position
 
@@ -26,7 +26,7 @@
 cached prefix and a short uncached rest would be recomputed all the time."""
 
 
-class Terms(NamedTuple):
+class LatencyRequirements(NamedTuple):
     """Latency requirements of a request, and the time it has waited.
 
     Attributes
@@ -69,7 +69,11 @@
 
 
 def place_admitted(
-    prompt: Prompt, engines: Engines, position: Position, terms: Terms, now_ms: float
+    prompt: Prompt,
+    engines: Engines,
+    position: Position,
+    requirements: LatencyRequirements,
+    now_ms: float,
 ) -> AdmittedPlacement | None:
     """Choose an engine and decide on admission there; None without engines.
 
@@ -81,30 +85,39 @@
         return None
     relaxed = position
     if position.standing > 1.0:
-        free_fraction = _free_fraction(engines, now_ms)
-        relaxed = position._replace(standing=relaxed_standing(position.standing, free_fraction))
-    decision = _decide(choice, prompt, engines, relaxed, terms, now_ms)
+        idle_fraction = _idle_fraction(engines, now_ms)
+        relaxed = position._replace(standing=relaxed_standing(position.standing, idle_fraction))
+    decision = _decide(choice, prompt, engines, relaxed, requirements, now_ms)
     worth_prefill = prompt.tokens_in <= SPREAD_PREFILL_FACTOR * choice.unread_tokens
     if decision.admission is not Admission.ADMITTED and relaxed.standing <= 1.0 and worth_prefill:
         others = [endpoint for endpoint in engines.endpoints if endpoint is not choice.endpoint]
-        on_idle = _place_on_idle(prompt, engines._replace(endpoints=others), relaxed, terms, now_ms)
+        on_idle = _place_on_idle(
+            prompt, engines._replace(endpoints=others), relaxed, requirements, now_ms
+        )
         if on_idle is not None:
             return on_idle._replace(position=position)
     return AdmittedPlacement(choice, decision, position)
 
 
 def _place_on_idle(
-    prompt: Prompt, engines: Engines, position: Position, terms: Terms, now_ms: float
+    prompt: Prompt,
+    engines: Engines,
+    position: Position,
+    requirements: LatencyRequirements,
+    now_ms: float,
 ) -> AdmittedPlacement | None:
     """Place on an idle engine that meets the latency target despite the prefill; None without."""
-    free = choose_free(prompt, engines.endpoints, engines.models, engines.records, now_ms)
-    if free is None or free.first_token_ms > WITHIN_SHARE * terms.aim_ms - terms.waited_ms:
+    free = choose_idle(prompt, engines.endpoints, engines.models, engines.records, now_ms)
+    if (
+        free is None
+        or free.first_token_ms > WITHIN_SHARE * requirements.aim_ms - requirements.waited_ms
+    ):
         return None
-    decision = _decide(free, prompt, engines, position, terms, now_ms)
+    decision = _decide(free, prompt, engines, position, requirements, now_ms)
     return AdmittedPlacement(free, decision) if decision.admission is Admission.ADMITTED else None
 
 
-def _free_fraction(engines: Engines, now_ms: float) -> float:
+def _idle_fraction(engines: Engines, now_ms: float) -> float:
     models = engines.models
     free = sum(
         models[endpoint.name].wait_ms(now_ms) <= IDLE_ENGINE_QUEUE_MS
@@ -118,7 +131,7 @@
     prompt: Prompt,
     engines: Engines,
     position: Position,
-    terms: Terms,
+    requirements: LatencyRequirements,
     now_ms: float,
 ) -> Decision:
     model = engines.models[choice.endpoint.name]
@@ -128,5 +141,5 @@
         standing=position.standing,
         lead=position.lead,
         filled=position.filled,
-        **terms._asdict(),
+        **requirements._asdict(),
     )
--- a/packages/core/src/tamarack_core/dispatch_host.py
+++ b/packages/core/src/tamarack_core/dispatch_host.py
@@ -107,10 +107,10 @@
         self._counts["stepped_down"] += len(self._dispatchers)
         self._dispatchers.clear()
 
-    def router_gone(self, router: str, now_ms: float) -> None:
+    def router_died(self, router: str, now_ms: float) -> None:
         """Release the tickets and grants of a dead router."""
         for dispatcher in self._dispatchers.values():
-            dispatcher.router_gone(router, now_ms)
+            dispatcher.router_died(router, now_ms)
 
     def report(self, endpoint: str, load: LoadReport, now_ms: float) -> None:
         """Process a load report of an endpoint."""
--- a/packages/core/src/tamarack_core/dispatcher.py
+++ b/packages/core/src/tamarack_core/dispatcher.py
@@ -228,7 +228,7 @@
             self._counts["resync"] += 1
         return Send(router, PollAck(self._shard, self._term, resync))
 
-    def router_gone(self, router: str, now_ms: float) -> None:
+    def router_died(self, router: str, now_ms: float) -> None:
         """Release the tickets and grants of a dead router and remove its accounts."""
         self._drop_router(router, now_ms)
         self._routers.remove_router(router)
--- a/packages/core/src/tamarack_core/key_freshness.py
+++ b/packages/core/src/tamarack_core/key_freshness.py
@@ -12,21 +12,21 @@
 
     Parameters
     ----------
-    lapse_ms
-        Milliseconds after the last confirmation until which keys are accepted.
+    lifetime_ms
+        Milliseconds after the last confirmation for which keys are accepted.
     """
 
-    def __init__(self, lapse_ms: float) -> None:
-        self._lapse_ms = lapse_ms
+    def __init__(self, lifetime_ms: float) -> None:
+        self._lifetime_ms = lifetime_ms
         self._confirmed_ms = float("-inf")
 
-    def confirm(self, asked_ms: float) -> None:
-        """Record that the configuration in use was the newest one at `asked_ms` or later.
+    def confirm(self, sent_ms: float) -> None:
+        """Record that the configuration in use was the newest one at `sent_ms` or later.
 
-        `asked_ms` is the time at which the confirming call was sent, as its answer may have been
-        delayed for any time.
+        `sent_ms` is the time at which the confirming call was sent, as its answer may have been
+        delayed arbitrarily.
         """
-        self._confirmed_ms = max(self._confirmed_ms, asked_ms)
+        self._confirmed_ms = max(self._confirmed_ms, sent_ms)
 
     def age_ms(self, now_ms: float) -> float:
         """Milliseconds since the last confirmation; infinite without one."""
@@ -34,4 +34,4 @@
 
     def trusted(self, now_ms: float) -> bool:
         """Whether keys may be accepted now."""
-        return self.age_ms(now_ms) <= self._lapse_ms
+        return self.age_ms(now_ms) <= self._lifetime_ms
--- a/packages/core/src/tamarack_core/key_owner.py
+++ b/packages/core/src/tamarack_core/key_owner.py
@@ -104,8 +104,8 @@
             del self._by_request[done.request]
         self._records[index] = self._records[index]._replace(state=done.state)
 
-    def router_gone(self, prefix: str) -> None:
-        """Mark a dead router's runs as orphans, readable at a known endpoint, or as unknown."""
+    def router_died(self, prefix: str) -> None:
+        """Mark a dead router's runs as orphans, or as unknown if their endpoint is not known."""
         for index, record in self._records.items():
             if record.state in (RUNNING, DONE) and record.request.startswith(prefix):
                 state = ORPHAN if record.endpoint else UNKNOWN
--- a/packages/core/src/tamarack_core/leaving.py
+++ b/packages/core/src/tamarack_core/leaving.py
@@ -5,10 +5,10 @@
 from typing import NamedTuple
 
 ADDRESS_USES = 3.0
-"""Longest use of an answer with router addresses by callers, as a multiple of its time to live."""
+"""Longest time that callers use a list of router addresses, as a multiple of its time to live."""
 
 ADDRESS_DELAY_MS = 300.0
-"""Milliseconds until a request arrives that was sent just before its address expired."""
+"""Longest delivery time in milliseconds of a request sent just before its addresses expired."""
 
 LAST_EXIT_PART = 0.93
 """Fraction of the grace time after which the router terminates all running requests; at the end of
@@ -24,7 +24,7 @@
 
     Attributes
     ----------
-    asked_ms
+    requested_ms
         Time of the request to stop.
     linger_until_ms
         Time until which callers without newer addresses may still use this router.
@@ -32,7 +32,7 @@
         Time at which all running requests are terminated.
     """
 
-    asked_ms: float
+    requested_ms: float
     linger_until_ms: float
     last_exit_ms: float
 
@@ -47,8 +47,8 @@
     def may_finish(self, longest_ms: float, now_ms: float) -> bool:
         """Whether a request that takes at most `longest_ms` finishes before the exit.
 
-        A request that outlasts the router is cut off in the middle of its answer although engine
-        and network work; if it is refused at once, another router serves it.
+        A request that runs longer than the router would be cut off in the middle of its answer,
+        without any other failure; if it is refused at once, another router serves it.
         """
         return longest_ms <= self.left_ms(now_ms)
 
@@ -61,7 +61,7 @@
     grace_ms
         Time from the request to stop until the process is killed.
     address_ttl_ms
-        Time to live of the answers with router addresses that callers received.
+        Time to live of the router addresses that callers received.
     """
     last_exit_ms = now_ms + grace_ms * LAST_EXIT_PART
     linger_until_ms = now_ms + ADDRESS_USES * address_ttl_ms + ADDRESS_DELAY_MS
--- a/packages/core/src/tamarack_core/loop_lag.py
+++ b/packages/core/src/tamarack_core/loop_lag.py
@@ -3,18 +3,18 @@
 from __future__ import annotations
 
 SAMPLE_MS = 50.0
-"""Time in milliseconds between two samples: several within the time in which callers have to be
-read, at the cost of 20 short callbacks a second."""
+"""Time in milliseconds between two samples: several within the time in which requests have to
+be read, at the cost of 20 short callbacks a second."""
 
 LATE_MS = 120.0
 """Lag in milliseconds from which a sample counts as late. Accepting, reading and forwarding a
-request takes about six iterations of the loop, 0.7 s with such a lag, and callers expect to be read
+request takes about six iterations of the loop, 0.7 s with such a lag, and a request has to be read
 within one second. It exceeds the tenth of a second for which a CPU quota may pause the process."""
 
 CALM_MS = 60.0
 """Lag in milliseconds below which a sample counts as calm; half of `LATE_MS`, as a hysteresis. It
 exceeds the 48 ms for which a CPU quota of half a core pauses a process: with 40 ms, one sample of
-45 ms in eight kept a recovered router overloaded for good."""
+45 ms in eight kept a recovered router overloaded permanently."""
 
 LATE_SAMPLES = 2
 """Consecutive late samples that start an overload: a single one is a suspended process or a long
@@ -60,7 +60,7 @@
         self._since_ms = 0.0
         self._ended_ms = float("-inf")
         self.lag_ms = 0.0
-        self.most_ms = 0.0
+        self.max_ms = 0.0
         self.overloads = 0
 
     @property
@@ -80,7 +80,7 @@
         """Record the lag of a timer; returns whether an overload began or ended."""
         late_ms = max(0.0, late_ms)
         self.lag_ms = max(late_ms, self.lag_ms * PEAK_KEPT)
-        self.most_ms = max(late_ms, self.most_ms)
+        self.max_ms = max(late_ms, self.max_ms)
         self._late_samples = self._late_samples + 1 if late_ms > LATE_MS else 0
         self._calm_samples = self._calm_samples + 1 if late_ms < CALM_MS else 0
         if not self._overloaded and self._late_samples >= LATE_SAMPLES:
--- a/packages/core/src/tamarack_core/placement.py
+++ b/packages/core/src/tamarack_core/placement.py
@@ -106,7 +106,7 @@
     return cheapest
 
 
-def choose_free(
+def choose_idle(
     prompt: Prompt,
     endpoints: Sequence[Endpoint],
     models: Mapping[str, EngineModel],
--- a/packages/core/src/tamarack_core/quarantine.py
+++ b/packages/core/src/tamarack_core/quarantine.py
@@ -2,7 +2,7 @@
 
 A crash interrupts all requests on the endpoint, up to 64, of which most are unrelated to it and are
 retried. A single crash therefore quarantines no request: each interrupted one becomes a suspect,
-and one that met several crashes is sent to an endpoint without other such suspects. If that
+and one interrupted by several crashes is sent to an endpoint without other such suspects. If that
 endpoint crashes as well, with it as the only suspect, the request is quarantined. A complete answer
 clears a suspect, because a request that crashes every endpoint is never answered.
 
@@ -21,7 +21,7 @@
 
 from tamarack_core.endpoint_registry import EndpointIncarnation
 from tamarack_core.quarantine_records import (
-    USUAL_BOUNDS,
+    DEFAULT_BOUNDS,
     PendingTermination,
     QuarantineBounds,
     Quarantined,
@@ -35,23 +35,23 @@
 
 Key = TypeVar("Key")
 
-APART_WEIGHT = 2.0
-"""Crashes met from which on a suspect is isolated from other suspects. With one, every request
+ISOLATION_WEIGHT = 2.0
+"""Weight of crashes from which a suspect is isolated from other suspects. With one, every request
 interrupted by a crash would be isolated."""
 
-SURE_FACTOR = 2.0
-"""Multiple of `QuarantineBounds.ends` from which on a request is quarantined whatever ran with it:
-suspects that always meet, or crashes that always coincide, must not delay a decision for ever."""
+CERTAINTY_FACTOR = 2.0
+"""Multiple of `QuarantineBounds.ends` from which a request is quarantined whatever ran with it:
+suspects that always run together, or crashes that always coincide, must not delay it forever."""
 
-LATE_WEIGHT = 0.25
+LATE_CRASH_WEIGHT = 0.25
 """Weight of a crash for a request that had run for a while beside others that had only begun; a
 request that crashes endpoints late is still quarantined after a few more crashes."""
 
-TOGETHER_WEIGHT = 0.5
+COINCIDENT_CRASH_WEIGHT = 0.5
 """Weight of a crash that coincides with that of another endpoint, as in a failure of instances.
 Five of these, as in a series of mass failures, stay below the weight that quarantines a request."""
 
-SETTLE_MS = 400.0
+DECISION_DELAY_MS = 400.0
 """Milliseconds from the first report of a crash to the decision on it: other routers report their
 interrupted requests within some 30 ms, by relays within 0.2 s, and some detect it 0.1 s later."""
 
@@ -59,8 +59,8 @@
 """Milliseconds a suspect is remembered after its last crash; one sent each half hour is found."""
 
 MANY_QUARANTINED = 8
-"""Quarantined requests of one workspace from which on its other requests are isolated before they
-meet a crash: many different harmful requests must not cost three endpoints each."""
+"""Quarantined requests of one workspace from which its other requests are isolated before their
+first crash: many different harmful requests must not cost three endpoints each."""
 
 MOST_SUSPECTS, MOST_SUSPECTS_OF_ONE = 4_096, 512
 MOST_QUARANTINED, MOST_QUARANTINED_OF_ONE = 1_024, 64
@@ -78,7 +78,7 @@
     """How a request is handled before it is sent."""
 
     FREE = "free"
-    APART = "apart"
+    ISOLATED = "apart"
     TRIAL = "trial"
     WAIT = "wait"
     QUARANTINED = "quarantined"
@@ -111,7 +111,7 @@
     """
 
     def __init__(
-        self, tries: Callable[[str], bool], bounds: QuarantineBounds = USUAL_BOUNDS
+        self, tries: Callable[[str], bool], bounds: QuarantineBounds = DEFAULT_BOUNDS
     ) -> None:
         self._tries = tries
         self._bounds = bounds
@@ -174,7 +174,7 @@
 
     def decide_due(self, now_ms: float) -> list[QuarantinedRequest]:
         """Decide on the crashes that are due; returns the requests quarantined from now on."""
-        due = [key for key, end in self._ends.items() if now_ms - end.first_ms >= SETTLE_MS]
+        due = [key for key, end in self._ends.items() if now_ms - end.first_ms >= DECISION_DELAY_MS]
         decisions: list[QuarantinedRequest] = []
         for key in due:
             end = self._ends.pop(key)
@@ -187,7 +187,7 @@
     @property
     def next_decision_ms(self) -> float | None:
         """When the next decision is due; None if there is none."""
-        return min((end.first_ms + SETTLE_MS for end in self._ends.values()), default=None)
+        return min((end.first_ms + DECISION_DELAY_MS for end in self._ends.values()), default=None)
 
     # decisions
 
@@ -240,13 +240,13 @@
         suspect = self._suspects.get(fingerprint)
         weight = self._prior(workspace) + (suspect.weight if suspect is not None else 0.0)
         waiting = self._waiting.get(fingerprint, 0)
-        if weight + waiting < APART_WEIGHT:
+        if weight + waiting < ISOLATION_WEIGHT:
             return FREE
         if waiting and weight + waiting >= self._bounds.ends:
             return Handling(Treatment.WAIT, self._decision_in_ms(fingerprint, now_ms))
         if self._running[fingerprint]:
             return Handling(Treatment.WAIT, BUSY_WAIT_MS)
-        return Handling(Treatment.APART)
+        return Handling(Treatment.ISOLATED)
 
     def begun(self, fingerprint: str, key: EndpointIncarnation) -> None:
         """Record that a request is sent isolated from other suspects."""
@@ -278,7 +278,7 @@
 
     @property
     def suspect_count(self) -> int:
-        """Number of requests that met crashes and were not answered completely since."""
+        """Number of requests interrupted by crashes and not answered completely since."""
         return len(self._suspects)
 
     def entries(self, now_ms: float) -> list[QuarantinedReading]:
@@ -312,18 +312,18 @@
             self._waiting.pop(evicted, None)
 
     def _clear(self, fingerprint: str) -> None:
-        # Also from undecided crashes: an answer is stronger evidence than having been there.
+        # Also from undecided crashes: a complete answer is stronger evidence than an interruption.
         self._suspects.pop(fingerprint)
         if self._waiting.pop(fingerprint, 0):
             for end in self._ends.values():
                 end.aboard.pop(fingerprint, None)
 
     def _prior(self, workspace: str) -> float:
-        return APART_WEIGHT if self._entries.count(workspace) >= MANY_QUARANTINED else 0.0
+        return ISOLATION_WEIGHT if self._entries.count(workspace) >= MANY_QUARANTINED else 0.0
 
     def _decision_in_ms(self, fingerprint: str, now_ms: float) -> float:
         times = [end.first_ms for end in self._ends.values() if fingerprint in end.aboard]
-        return max(1.0, max(times, default=now_ms) + SETTLE_MS - now_ms)
+        return max(1.0, max(times, default=now_ms) + DECISION_DELAY_MS - now_ms)
 
     def _treat_entry(self, fingerprint: str, entry: Quarantined, now_ms: float) -> Handling:
         paused = now_ms < entry.tried_at_ms(self._bounds.first_pause_ms)
@@ -342,14 +342,14 @@
             # A quarantined request explains the crash; the others are unrelated.
             return [self._trial_failed(f, entry, now_ms) for f, entry in known if entry.on_trial]
         early = {f for f, is_early in end.aboard.items() if is_early} or set(end.aboard)
-        suspected = {f for f in early if self._weight(f) >= APART_WEIGHT}
+        suspected = {f for f in early if self._weight(f) >= ISOLATION_WEIGHT}
         for fingerprint in end.aboard:
             self._add_weight(fingerprint, end, early=fingerprint in early)
         sole = not end.together and len(suspected) == 1
         return [
             self._quarantine(f, now_ms)
             for f in early
-            if self._weight(f) >= SURE_FACTOR * self._bounds.ends
+            if self._weight(f) >= CERTAINTY_FACTOR * self._bounds.ends
             or (sole and f in suspected and self._weight(f) >= self._bounds.ends)
         ]
 
@@ -361,8 +361,8 @@
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return
-        whole = TOGETHER_WEIGHT if end.together else 1.0
-        suspect.weight += whole * (1.0 if early else LATE_WEIGHT)
+        whole = COINCIDENT_CRASH_WEIGHT if end.together else 1.0
+        suspect.weight += whole * (1.0 if early else LATE_CRASH_WEIGHT)
         suspect.ends += 1
 
     def _quarantine(self, fingerprint: str, now_ms: float) -> QuarantinedRequest:
@@ -386,7 +386,7 @@
         return request
 
     def _forget(self, now_ms: float) -> None:
-        past_ms = now_ms - SETTLE_MS * 10
+        past_ms = now_ms - DECISION_DELAY_MS * 10
         self._settled = {key: at for key, at in self._settled.items() if at > past_ms}
         for fingerprint, suspect in self._suspects.items():
             if now_ms - suspect.last_ms > FORGET_MS:
--- a/packages/core/src/tamarack_core/quarantine_records.py
+++ b/packages/core/src/tamarack_core/quarantine_records.py
@@ -20,7 +20,7 @@
     Attributes
     ----------
     ends
-        Crashes met from which on a request can be quarantined, if it was the only suspect at the
+        Number of crashes from which a request can be quarantined, if it was the only suspect at the
         last one. Three are allowed before a request has to be recognized.
     first_pause_ms
         Milliseconds until a quarantined request is tried again, isolated and by one router: a wrong
@@ -31,11 +31,11 @@
     first_pause_ms: float = 120_000.0
 
 
-USUAL_BOUNDS = QuarantineBounds()
+DEFAULT_BOUNDS = QuarantineBounds()
 
 
 class Suspect:
-    """A request that met crashes and was not answered completely since."""
+    """A request that was interrupted by crashes and not answered completely since."""
 
     __slots__ = ("ends", "last_ms", "weight", "workspace")
 
--- a/packages/core/src/tamarack_core/retry_allowance.py
+++ b/packages/core/src/tamarack_core/retry_allowance.py
@@ -42,7 +42,7 @@
         """Record the current number of routers; the highest one counts."""
         self._routers = max(self._routers, routers)
 
-    def note_request(self, service: str, now_ms: float) -> None:
+    def record_request(self, service: str, now_ms: float) -> None:
         """Count a request for a service."""
         times = self._requests.setdefault(service, deque())
         times.append(now_ms)
--- a/packages/core/src/tamarack_core/router_core.py
+++ b/packages/core/src/tamarack_core/router_core.py
@@ -276,8 +276,8 @@
 
     def _handle_router_loss(self, router: str, boot: int, now_ms: float) -> None:
         self._counts["router_gone"] += 1
-        self._host.router_gone(router, now_ms)
-        self._key_owner.router_gone(request_prefix(router, boot))
+        self._host.router_died(router, now_ms)
+        self._key_owner.router_died(request_prefix(router, boot))
 
     # Membership
 
--- a/packages/core/src/tamarack_core/termination_evidence.py
+++ b/packages/core/src/tamarack_core/termination_evidence.py
@@ -13,8 +13,8 @@
     Attributes
     ----------
     early
-        Whether its answer had not begun, or only just. A request that crashes an endpoint mostly
-        does so at its start; one that has run for long is a less likely culprit.
+        Whether its answer had not begun or had only just begun. A request that crashes an endpoint
+        mostly does so at its start; one that has run for a long time is a less likely culprit.
     """
 
     fingerprint: str
--- a/packages/core/src/tamarack_core/workspace_shares.py
+++ b/packages/core/src/tamarack_core/workspace_shares.py
@@ -149,8 +149,8 @@
     def lead(self, workspace: str, tokens_per_s: float, now_ms: float) -> float:
         """Service of a workspace relative to the least-served backlogged workspace.
 
-        1 for a workspace within its share, and if no workspace is backlogged: its excess is then at
-        nobody's expense. A workspace counts as backlogged only while its demand is at least an
+        1 for a workspace within its share, and if no workspace is backlogged: its excess then
+        delays no other. A workspace counts as backlogged only while its demand is at least an
         equal share of the actual throughput. If one with a lower demand counted, a few of its
         waiting requests would delay all workspaces with more demand, and engines would run out of
         work; it is admitted by its `filled` instead. If one whose demand has ended counted, its
--- a/packages/gateway/src/tamarack_gateway/caller_handler.py
+++ b/packages/gateway/src/tamarack_gateway/caller_handler.py
@@ -150,7 +150,7 @@
             sent = "after it was sent" if exchange.sends else "before it was sent"
             self._log.request("abandoned", attempt, reason=sent, waited_ms=ran_ms)
             return
-        stopping_ms = None if plan is None else round(now_ms - plan.asked_ms)
+        stopping_ms = None if plan is None else round(now_ms - plan.requested_ms)
         outcome = exchange.end()
         self._log.request(
             outcome, attempt, reason=ROUTER_ENDS, stopping_ms=stopping_ms, ran_ms=ran_ms
--- a/packages/gateway/src/tamarack_gateway/engine_admission.py
+++ b/packages/gateway/src/tamarack_gateway/engine_admission.py
@@ -5,7 +5,12 @@
 from collections.abc import Sequence
 
 from tamarack_core.admission import Admission
-from tamarack_core.admitted_placement import AdmittedPlacement, Engines, Terms, place_admitted
+from tamarack_core.admitted_placement import (
+    AdmittedPlacement,
+    Engines,
+    LatencyRequirements,
+    place_admitted,
+)
 from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.prompt import Prompt
 from tamarack_core.ruleset import Route
@@ -52,7 +57,7 @@
         """
         state, now_ms = self._state, self._state.clock.now_ms
         aim_ms = self._route.aim_ms
-        terms = Terms(
+        requirements = LatencyRequirements(
             aim_ms=aim_ms,
             shortest_aim_ms=state.shortest_aim_ms(self._service, aim_ms),
             waited_ms=now_ms - self._arrived_ms,
@@ -62,7 +67,7 @@
         )
         position = self._position(now_ms)
         engines = Engines(endpoints, state.models, state.records)
-        placement = place_admitted(prompt, engines, position, terms, now_ms)
+        placement = place_admitted(prompt, engines, position, requirements, now_ms)
         if placement is not None and placement.decision.admission is not Admission.ADMITTED:
             self._log_decision(prompt, placement)
         return placement
--- a/packages/gateway/src/tamarack_gateway/exchange.py
+++ b/packages/gateway/src/tamarack_gateway/exchange.py
@@ -132,7 +132,7 @@
     async def run(self) -> None:
         """Answer the request."""
         state = self._state
-        state.allowance.note_request(self._service, state.clock.now_ms)
+        state.allowance.record_request(self._service, state.clock.now_ms)
         self._recorder.asked()
         await self._attempts()
 
--- a/packages/gateway/src/tamarack_gateway/fleet_state.py
+++ b/packages/gateway/src/tamarack_gateway/fleet_state.py
@@ -13,7 +13,7 @@
 from tamarack_core.key_freshness import KeyFreshness
 from tamarack_core.leaving import LeavingPlan
 from tamarack_core.quarantine import Quarantine
-from tamarack_core.quarantine_records import USUAL_BOUNDS, QuarantineBounds
+from tamarack_core.quarantine_records import DEFAULT_BOUNDS, QuarantineBounds
 from tamarack_core.retry_allowance import RetryAllowance
 from tamarack_core.retry_detector import RetryDetector
 from tamarack_core.ruleset import CallerBounds, Ruleset
@@ -78,7 +78,7 @@
         log: DecisionLog,
         *,
         seed: int,
-        quarantine: QuarantineBounds = USUAL_BOUNDS,
+        quarantine: QuarantineBounds = DEFAULT_BOUNDS,
     ) -> None:
         bounds = settings.bounds
         self.settings = settings
--- a/packages/gateway/src/tamarack_gateway/gateway.py
+++ b/packages/gateway/src/tamarack_gateway/gateway.py
@@ -8,7 +8,7 @@
 
 from tamarack_core.clock import Clock
 from tamarack_core.leaving import plan_leaving
-from tamarack_core.quarantine_records import USUAL_BOUNDS, QuarantineBounds
+from tamarack_core.quarantine_records import DEFAULT_BOUNDS, QuarantineBounds
 from tamarack_core.relay_plan import Peer
 from tamarack_gateway.cache_inventory import CacheInventory
 from tamarack_gateway.caller_connection import CallerConnection
@@ -56,7 +56,7 @@
         log: DecisionLog,
         *,
         seed: int,
-        quarantine: QuarantineBounds = USUAL_BOUNDS,
+        quarantine: QuarantineBounds = DEFAULT_BOUNDS,
     ) -> None:
         self._site = site
         self._clock = clock
--- a/packages/gateway/src/tamarack_gateway/loop_monitor.py
+++ b/packages/gateway/src/tamarack_gateway/loop_monitor.py
@@ -119,7 +119,7 @@
         lag, limit = self._lag, self._limit.limit
         return {
             "lag_ms": round(lag.lag_ms),
-            "most_lag_ms": round(lag.most_ms),
+            "most_lag_ms": round(lag.max_ms),
             "overloaded": lag.overloaded,
             "overloads": lag.overloads,
             "turned_away": self._turned_away(),
--- a/packages/gateway/src/tamarack_gateway/quarantine_settings.py
+++ b/packages/gateway/src/tamarack_gateway/quarantine_settings.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from tamarack_core.quarantine_records import LONGEST_PAUSE_MS, USUAL_BOUNDS, QuarantineBounds
+from tamarack_core.quarantine_records import DEFAULT_BOUNDS, LONGEST_PAUSE_MS, QuarantineBounds
 
 ENDS = "TAMARACK_QUARANTINE_ENDS"
 PAUSE_S = "TAMARACK_QUARANTINE_PAUSE_S"
@@ -19,7 +19,7 @@
 
 def quarantine_bounds(environment: Mapping[str, str]) -> QuarantineBounds:
     """Read and check the settings in the environment; raises `ValueError` with all errors."""
-    defaults = USUAL_BOUNDS
+    defaults = DEFAULT_BOUNDS
     errors: list[str] = []
     ends = _number(environment, ENDS, float(defaults.ends), ENDS_RANGE, errors)
     pause_s = _number(environment, PAUSE_S, defaults.first_pause_ms / 1000, PAUSE_S_RANGE, errors)
--- a/packages/gateway/src/tamarack_gateway/request_quarantine.py
+++ b/packages/gateway/src/tamarack_gateway/request_quarantine.py
@@ -72,7 +72,7 @@
 
     def allowed_endpoints(self, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
         """Those of `endpoints` that the request may be sent to; a suspect is confined to one."""
-        if self._handling.treatment not in (Treatment.APART, Treatment.TRIAL) or not endpoints:
+        if self._handling.treatment not in (Treatment.ISOLATED, Treatment.TRIAL) or not endpoints:
             return endpoints
         key = self._quarantine.choose_endpoint(
             self.fingerprint, [endpoint.key for endpoint in endpoints]
@@ -81,7 +81,7 @@
 
     def sent(self, endpoint: Endpoint) -> None:
         """Record that the request is sent to an endpoint."""
-        if self._handling.treatment in (Treatment.APART, Treatment.TRIAL):
+        if self._handling.treatment in (Treatment.ISOLATED, Treatment.TRIAL):
             self._isolated_at = endpoint.key
             self._quarantine.begun(self.fingerprint, endpoint.key)
         self._handling = FREE
--- a/tests/crashing_pool.py
+++ b/tests/crashing_pool.py
@@ -29,8 +29,8 @@
     ----------
     fatal
         Bodies of requests that crash any engine that runs them.
-    back_s
-        Seconds from a crash until a new engine has replaced the entry of the former one.
+    replacement_s
+        Seconds from a crash until a new engine's entry replaces that of the crashed one.
     script
         How all other requests are answered.
     """
@@ -39,14 +39,14 @@
         self,
         size: int,
         *fatal: bytes,
-        back_s: float = 0.3,
+        replacement_s: float = 0.3,
         script: Script | None = None,
         service: str = "pool",
     ) -> None:
         self.fatal = frozenset(fatal)
         self.arrivals: list[Arrival] = []
         self.ended_s: list[float] = []
-        self._back_s = back_s
+        self._replacement_s = replacement_s
         self._service = service
         self._script = script or Script(events=3, echo=True)
         self._names = (f"e{number}" for number in itertools.count(1))
@@ -77,10 +77,10 @@
         """Number of engines that a request has reached, crashed or not."""
         return sum(arrival.body == body for arrival in self.arrivals)
 
-    def late(self, body: bytes, contact_s: float) -> int:
-        """How often a request reached engines later than `contact_s` after its third arrival."""
+    def late(self, body: bytes, grace_s: float) -> int:
+        """Number of arrivals of a request later than `grace_s` after its third one."""
         times = [arrival.at_s for arrival in self.arrivals if arrival.body == body]
-        return sum(at_s > times[2] + contact_s for at_s in times[3:]) if len(times) > 3 else 0
+        return sum(at_s > times[2] + grace_s for at_s in times[3:]) if len(times) > 3 else 0
 
     def arrived(self, body: bytes) -> None:
         """Record that a fatal request has reached an engine."""
@@ -90,15 +90,15 @@
         engine = PlatformWorker(next(self._names), self._script)
         engine.fatal = self.fatal
         engine.on_fatal = self.arrived
-        engine.on_end = lambda: self._ended(engine)
+        engine.on_end = lambda: self._on_crash(engine)
         return engine
 
-    def _ended(self, engine: PlatformWorker) -> None:
+    def _on_crash(self, engine: PlatformWorker) -> None:
         self.ended_s.append(time.monotonic())
         self._tasks.append(asyncio.ensure_future(self._replace(engine)))
 
     async def _replace(self, ended: PlatformWorker) -> None:
-        await asyncio.sleep(self._back_s)
+        await asyncio.sleep(self._replacement_s)
         engine = self._engine()
         await self._stack.enter_async_context(engine)
         assert self._store is not None
--- a/tests/share_simulation.py
+++ b/tests/share_simulation.py
@@ -15,7 +15,7 @@
 from typing import Any, NamedTuple
 
 from tamarack_core.admission import FREE_ENGINE, Admission
-from tamarack_core.admitted_placement import Engines, Terms, place_admitted
+from tamarack_core.admitted_placement import Engines, LatencyRequirements, place_admitted
 from tamarack_core.endpoint_record import EndpointRecord
 from tamarack_core.endpoint_registry import Endpoint
 from tamarack_core.engine_model import EngineModel
@@ -59,7 +59,7 @@
         Number of routers that restart at `restart_ms` without shares.
     scattered
         Whether only engines that prefilled a block cache it; otherwise all cache all blocks.
-    tell_ms
+    report_interval_ms
         Interval in milliseconds at which a router reports to the others.
     """
 
@@ -72,14 +72,14 @@
     scattered: bool = True
     length_ms: float = 12_000.0
     seed: int = 1
-    tell_ms: float = 20.0
+    report_interval_ms: float = 20.0
 
 
 class Outcome(NamedTuple):
     """Tokens by workspace in the measured period, and the utilization of the engines.
 
     `served` counts requests whose first token came before their deadline, `late` those of them that
-    missed the latency target. `by_free` counts requests admitted only because an engine was idle.
+    missed the latency target. `by_idle` counts requests admitted only because an engine was idle.
     """
 
     asked: dict[str, float]
@@ -87,7 +87,7 @@
     late: dict[str, float]
     read: float
     busy: float
-    by_free: dict[str, float]
+    by_idle: dict[str, float]
 
     def fairness(self, workspaces: list[str]) -> float:
         """Minimum of service relative to the demand or the best service, whichever is lower."""
@@ -152,7 +152,7 @@
         self._asked: dict[str, float] = defaultdict(float)
         self._served: dict[str, float] = defaultdict(float)
         self._late: dict[str, float] = defaultdict(float)
-        self._by_free: dict[str, float] = defaultdict(float)
+        self._by_idle: dict[str, float] = defaultdict(float)
         self._now_ms = 0.0
 
     def run(self) -> Outcome:
@@ -162,7 +162,7 @@
         for name in scenario.workspaces:
             self._at(0.0, self._arrive, name)
         for number in range(scenario.routers):
-            self._at(self._random.uniform(0.0, scenario.tell_ms), self._report, number)
+            self._at(self._random.uniform(0.0, scenario.report_interval_ms), self._report, number)
         self._at(scenario.restart_ms, self._restart)
         while self._events and self._events[0][0] < scenario.length_ms:
             self._now_ms, _, act, arguments = heapq.heappop(self._events)
@@ -171,8 +171,8 @@
         busy_ms = sum(min(engine.busy_ms, scenario.length_ms) for engine in engines)
         busy = busy_ms / len(self._engines) / scenario.length_ms
         read = sum(engine.read for engine in engines)
-        by_free = dict(self._by_free)
-        return Outcome(dict(self._asked), dict(self._served), dict(self._late), read, busy, by_free)
+        by_idle = dict(self._by_idle)
+        return Outcome(dict(self._asked), dict(self._served), dict(self._late), read, busy, by_idle)
 
     def _at(self, when_ms: float, act: Callable[..., None], *arguments: Any) -> None:
         heapq.heappush(self._events, (when_ms, next(self._order), act, arguments))
@@ -235,16 +235,18 @@
         left_ms = request.arrived_ms + DEADLINE_MS - now_ms
         draw = self._random.random()
         retried = request.returns > 0
-        terms = Terms(AIM_MS, AIM_MS, now_ms - received_ms, left_ms, retried, draw)
+        requirements = LatencyRequirements(
+            AIM_MS, AIM_MS, now_ms - received_ms, left_ms, retried, draw
+        )
         rate = self._scenario.tokens_per_s
         position = router.shares.position(request.workspace, rate, now_ms)
         engines = Engines(self._endpoints, router.models, router.records)
-        placement = place_admitted(request.prompt, engines, position, terms, now_ms)
+        placement = place_admitted(request.prompt, engines, position, requirements, now_ms)
         assert placement is not None
         decision = placement.decision
         if decision.admission is Admission.ADMITTED:
             if decision.reason == FREE_ENGINE and self._counted(now_ms):
-                self._by_free[request.workspace] += request.prompt.charge
+                self._by_idle[request.workspace] += request.prompt.charge
             self._send(router, request, placement.choice.endpoint.name)
         elif decision.admission is Admission.HELD:
             self._at(now_ms + decision.wait_ms, self._decide, router, request, received_ms)
@@ -294,7 +296,7 @@
             if news and other != number:
                 delay_ms = self._random.uniform(20.0, 100.0)
                 self._at(self._now_ms + delay_ms, self._receive, other, news)
-        self._at(self._now_ms + self._scenario.tell_ms, self._report, number)
+        self._at(self._now_ms + self._scenario.report_interval_ms, self._report, number)
 
     def _receive(self, number: int, news: list[Callable[[_Router, float], None]]) -> None:
         for apply in news:
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -82,15 +82,15 @@
 """Demand of twelve workspaces in million tokens per second; in total 1.7 times the capacity."""
 
 
-@pytest.mark.parametrize("tell_ms", [20.0, 100.0])
+@pytest.mark.parametrize("report_interval_ms", [20.0, 100.0])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_shares_are_fair_among_many_engines(seed: int, tell_ms: float) -> None:
+def test_shares_are_fair_among_many_engines(seed: int, report_interval_ms: float) -> None:
     """Failure: of many engines one is always idle, and the highest demand finds it most often."""
     large = {f"large-{number}": Demand(rate * 1e6) for number, rate in enumerate(RATES)}
     small = {f"small-{number}": Demand(40_000.0, parts=3) for number in range(50)}
     nominal = NOMINAL * MANY_ENGINES / 16
     scenario = Scenario({**large, **small}, nominal, MANY_ENGINES, 8, length_ms=10_000.0)
-    scenario = scenario._replace(seed=seed, tell_ms=tell_ms)
+    scenario = scenario._replace(seed=seed, report_interval_ms=report_interval_ms)
     outcome = Simulation(scenario, from_ms=4_000.0, until_ms=10_000.0).run()
     assert outcome.fairness(list(large)) >= 0.5
     asked, served = (
--- a/tests/test_gateway_core.py
+++ b/tests/test_gateway_core.py
@@ -1,4 +1,4 @@
-"""Routing decisions of the platform's path, on a simulated clock."""
+"""Routing decisions of the gateway, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
         allowance.seen(6)
         allowance.seen(1)
         for _ in range(100):
-            allowance.note_request("pool", 1_000.0)
+            allowance.record_request("pool", 1_000.0)
     taken = sum(
         sum(allowance.take("pool", 1_000.0) for _ in range(200)) for allowance in allowances
     )
@@ -415,7 +415,7 @@
 
 
 def test_an_admission_shows_whether_an_idle_engine_was_the_reason() -> None:
-    """Failure: logs do not show whether a workspace was admitted in spite of its lead."""
+    """Failure: logs do not show whether a workspace was admitted despite its lead."""
     free = decision(first_token_ms=73.0, standing=7.0, lead=1.5)
     assert (free.admission, free.reason) == (Admission.ADMITTED, FREE_ENGINE)
     timely = decision(first_token_ms=70.0)
--- a/tests/test_gateway_properties.py
+++ b/tests/test_gateway_properties.py
@@ -44,7 +44,7 @@
         if retry and routers[number].take("pool", now_ms):
             retries.append(now_ms)
         elif not retry:
-            routers[number].note_request("pool", now_ms)
+            routers[number].record_request("pool", now_ms)
             requests.append(now_ms)
         again = sum(at >= now_ms - WINDOW_MS for at in retries)
         asked = sum(at >= now_ms - 2 * WINDOW_MS for at in requests)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -94,7 +94,7 @@
 @given(STOPS)
 def test_a_router_lingers_no_longer_than_until_its_exit(stop: Stop) -> None:
     plan = plan_leaving(stop.at_ms, grace_ms=stop.grace_ms, address_ttl_ms=stop.ttl_ms)
-    assert plan.asked_ms <= plan.linger_until_ms <= plan.last_exit_ms
+    assert plan.requested_ms <= plan.linger_until_ms <= plan.last_exit_ms
     assert plan.last_exit_ms < stop.at_ms + stop.grace_ms
     assert plan.lingers(stop.at_ms)
     assert not plan.lingers(plan.linger_until_ms)
--- a/tests/test_loop_lag.py
+++ b/tests/test_loop_lag.py
@@ -54,7 +54,7 @@
     for _ in range(100):
         lag.record_lag(0.0, 0.0)
     assert lag.lag_ms < 10.0
-    assert lag.most_ms == 1_000.0
+    assert lag.max_ms == 1_000.0
 
 
 def test_an_overloaded_router_accepts_requests_part_of_the_time() -> None:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -9,11 +9,11 @@
 from tamarack_bench.quarantine_model import ModelOptions, ModelResult, QuarantineModel
 from tamarack_core.endpoint_registry import EndpointIncarnation
 from tamarack_core.quarantine import (
+    DECISION_DELAY_MS,
     FORGET_MS,
     MANY_QUARANTINED,
     MOST_QUARANTINED_OF_ONE,
     MOST_SUSPECTS_OF_ONE,
-    SETTLE_MS,
     Quarantine,
     Treatment,
 )
@@ -33,20 +33,20 @@
     def __init__(self, *, tries: bool = True) -> None:
         self.now_ms = 1_000.0
         self.quarantine = Quarantine(lambda fingerprint: tries)
-        self._lives = 0
+        self._incarnations = 0
 
     def end(self, *aboard: str, late: tuple[str, ...] = (), together: bool = False) -> list[str]:
         """Crash an endpoint with the given requests; returns those quarantined by the decision."""
-        self._lives += 1
+        self._incarnations += 1
         requests = [InterruptedRequest(f, "shop", True) for f in aboard] + [
             InterruptedRequest(f, "shop", False) for f in late
         ]
-        end = Termination(f"e{self._lives}", self._lives, together, requests)
+        end = Termination(f"e{self._incarnations}", self._incarnations, together, requests)
         self.quarantine.ended(end, self.now_ms)
-        self.now_ms += SETTLE_MS
+        self.now_ms += DECISION_DELAY_MS
         return [decision.fingerprint for decision in self.quarantine.decide_due(self.now_ms)]
 
-    def look(self, fingerprint: str, workspace: str = "shop") -> Treatment:
+    def treatment_of(self, fingerprint: str, workspace: str = "shop") -> Treatment:
         return self.quarantine.treatment_of(fingerprint, workspace, self.now_ms).treatment
 
 
@@ -68,8 +68,9 @@
     """Failure: engines crash all day, or unrelated requests are refused permanently.
 
     Two requests crash any engine and arrive twice a second each, at any router. Each crash
-    interrupts some 30 others, which are retried and meet the next crash. The first failure results
-    if no evidence is kept, the second if every request that met three crashes is quarantined.
+    interrupts some 30 others, which are retried and then interrupted by the next crash. The first
+    failure results if no evidence is kept, the second if every request that three crashes
+    interrupted is quarantined.
     """
     result = play(
         routers=routers,
@@ -89,8 +90,8 @@
 def test_no_request_is_quarantined_after_a_mass_failure(seed: int) -> None:
     """Failure: requests are refused for minutes after a failure of instances.
 
-    Half of the engines crash five times in a row; callers retry at once and meet each of these
-    crashes, which must not count like crashes caused by a request.
+    Half of the engines crash five times in a row; callers retry at once and are interrupted
+    by each of these crashes, which must not count like crashes caused by a request.
     """
     result = play(culprits=0, failures_ms=MASS_MS, seconds=25.0, seed=seed)
     assert result.quarantined == 0
@@ -110,7 +111,7 @@
     """Failure: after all routers were replaced, a quarantined request crashes endpoints again.
 
     All routers are killed at once, and the quarantine is known only to them. Without the store's
-    rows, as during an outage of the store, it costs three more endpoints.
+    rows, as during an outage of the store, it crashes three more endpoints.
     """
     model = QuarantineModel(ModelOptions(culprits=1, seconds=30.0, seed=seed))
     crashes_before = []
@@ -127,7 +128,7 @@
         assert len(model.ended_ms) == crashes_before[0]
 
 
-def test_a_replaced_router_learns_the_quarantine_from_the_others() -> None:
+def test_a_replaced_router_receives_the_quarantine_from_the_others() -> None:
     model = QuarantineModel(ModelOptions(culprits=1, seconds=30.0))
     model.at(10_000.0, lambda: model.replace_router(0))
     assert max(model.run().late_arrivals) == 0
@@ -139,18 +140,18 @@
 def test_a_single_crash_quarantines_no_request() -> None:
     steps = Steps()
     assert steps.end("a", "b", "c") == []
-    assert steps.look("a") is Treatment.FREE
+    assert steps.treatment_of("a") is Treatment.FREE
 
 
 def test_the_only_suspect_at_its_third_crash_is_quarantined() -> None:
     steps = Steps()
     assert steps.end("a", "b") == []
     assert steps.end("a", "c") == []
-    assert steps.look("a") is Treatment.APART
-    assert steps.look("b") is Treatment.FREE
+    assert steps.treatment_of("a") is Treatment.ISOLATED
+    assert steps.treatment_of("b") is Treatment.FREE
     assert steps.end("a", "d") == ["a"]
-    assert steps.look("a") is Treatment.QUARANTINED
-    assert steps.look("d") is Treatment.FREE
+    assert steps.treatment_of("a") is Treatment.QUARANTINED
+    assert steps.treatment_of("d") is Treatment.FREE
 
 
 def test_two_suspects_at_one_crash_are_not_quarantined_until_one_is_alone() -> None:
@@ -159,13 +160,13 @@
     steps.end("a", "b")
     assert steps.end("a", "b") == []
     assert steps.end("a") == ["a"]
-    assert steps.look("b") is Treatment.APART
+    assert steps.treatment_of("b") is Treatment.ISOLATED
     assert steps.quarantine.answered("b")
-    assert steps.look("b") is Treatment.FREE
+    assert steps.treatment_of("b") is Treatment.FREE
 
 
-def test_two_suspects_that_always_meet_are_both_quarantined_eventually() -> None:
-    """Failure: two such requests, always sent together by one caller, crash endpoints for ever."""
+def test_two_suspects_that_always_run_together_are_both_quarantined_eventually() -> None:
+    """Failure: two such requests, always sent together by one caller, crash endpoints forever."""
     steps = Steps()
     decisions: list[str] = []
     ends = 0
@@ -183,10 +184,10 @@
     steps.quarantine.ended(
         Termination("e9", 9, False, [InterruptedRequest("a", "shop", True)]), steps.now_ms
     )
-    assert steps.look("a") is Treatment.WAIT
+    assert steps.treatment_of("a") is Treatment.WAIT
     assert steps.quarantine.answered("a")
-    assert steps.quarantine.decide_due(steps.now_ms + SETTLE_MS) == []
-    assert steps.look("a") is Treatment.FREE
+    assert steps.quarantine.decide_due(steps.now_ms + DECISION_DELAY_MS) == []
+    assert steps.treatment_of("a") is Treatment.FREE
     assert not steps.quarantine.watching
 
 
@@ -194,7 +195,7 @@
     steps = Steps()
     for number in range(QuarantineBounds().ends):
         steps.end(f"new{number}", late=("old",))
-    assert steps.look("old") is Treatment.FREE
+    assert steps.treatment_of("old") is Treatment.FREE
 
 
 def test_a_request_that_crashes_endpoints_late_is_quarantined_if_it_was_alone() -> None:
@@ -218,12 +219,12 @@
             [InterruptedRequest("a", "shop", True), InterruptedRequest(f"b{number}", "shop", True)],
         )
         steps.quarantine.ended(end, steps.now_ms)
-    steps.quarantine.decide_due(steps.now_ms + SETTLE_MS)
+    steps.quarantine.decide_due(steps.now_ms + DECISION_DELAY_MS)
     # A report after the decision does not count again.
     steps.quarantine.ended(
         Termination("e1", 1, False, [InterruptedRequest("a", "shop", True)]), steps.now_ms + 900.0
     )
-    assert steps.quarantine.decide_due(steps.now_ms + 900.0 + SETTLE_MS) == []
+    assert steps.quarantine.decide_due(steps.now_ms + 900.0 + DECISION_DELAY_MS) == []
     assert [reading.ends for reading in steps.quarantine.suspects(9)] == [1] * 5
 
 
@@ -233,9 +234,9 @@
     steps.end("a")
     key = EndpointIncarnation("e7", 7)
     steps.quarantine.begun("a", key)
-    assert steps.look("a") is Treatment.WAIT
+    assert steps.treatment_of("a") is Treatment.WAIT
     steps.quarantine.finished("a", key)
-    assert steps.look("a") is Treatment.APART
+    assert steps.treatment_of("a") is Treatment.ISOLATED
 
 
 def test_suspects_run_at_different_endpoints() -> None:
@@ -250,7 +251,7 @@
 
 
 def test_a_quarantined_request_is_tried_again_after_growing_pauses() -> None:
-    """Failure: a harmless request is refused for ever, or a harmful one crashes endpoints all day.
+    """Failure: a harmless request is refused forever, or a harmful one crashes endpoints all day.
 
     The first results from decisions that never expire, the second from pauses that do not grow.
     """
@@ -260,19 +261,19 @@
     pauses = []
     for _ in range(5):
         since_ms = steps.now_ms
-        while steps.look("a") is Treatment.QUARANTINED:
+        while steps.treatment_of("a") is Treatment.QUARANTINED:
             steps.now_ms += 1_000.0
         pauses.append(steps.now_ms - since_ms)
-        assert steps.look("a") is Treatment.QUARANTINED, "one trial at a time"
+        assert steps.treatment_of("a") is Treatment.QUARANTINED, "one trial at a time"
         assert steps.end("a", "beside") == ["a"]
-        assert steps.look("beside") is Treatment.FREE
+        assert steps.treatment_of("beside") is Treatment.FREE
     assert pauses[0] <= QuarantineBounds().first_pause_ms
     assert all(after >= 4 * before for before, after in zip(pauses, pauses[1:4], strict=False))
     assert max(pauses) <= LONGEST_PAUSE_MS
-    while steps.look("a") is Treatment.QUARANTINED:
+    while steps.treatment_of("a") is Treatment.QUARANTINED:
         steps.now_ms += 60_000.0
     assert steps.quarantine.answered("a")
-    assert steps.look("a") is Treatment.FREE
+    assert steps.treatment_of("a") is Treatment.FREE
 
 
 def test_only_one_router_tries_a_quarantined_request() -> None:
@@ -280,15 +281,15 @@
     for _ in range(3):
         steps.end("a")
     steps.now_ms += 10 * LONGEST_PAUSE_MS
-    assert steps.look("a") is Treatment.QUARANTINED
+    assert steps.treatment_of("a") is Treatment.QUARANTINED
 
 
 def test_requests_of_a_workspace_with_many_culprits_are_isolated_at_once() -> None:
     steps = Steps()
     for number in range(MANY_QUARANTINED):
         steps.quarantine.add(QuarantinedRequest(f"f{number}", "shop", 0), steps.now_ms)
-    assert steps.look("new") is Treatment.APART
-    assert steps.look("new", "another") is Treatment.FREE
+    assert steps.treatment_of("new") is Treatment.ISOLATED
+    assert steps.treatment_of("new", "another") is Treatment.FREE
     assert steps.end("new") == ["new"]
 
 
@@ -297,7 +298,7 @@
     steps.quarantine.add(QuarantinedRequest("stored", "shop", 0), steps.now_ms, stored=True)
     steps.quarantine.add(QuarantinedRequest("told", "shop", 0), steps.now_ms)
     assert steps.quarantine.retain_stored(set()) == ["stored"]
-    assert steps.look("told") is Treatment.QUARANTINED
+    assert steps.treatment_of("told") is Treatment.QUARANTINED
     assert steps.quarantine.unstored() == [QuarantinedRequest("told", "shop", 0)]
 
 
@@ -307,7 +308,7 @@
     steps.end("a")
     steps.now_ms += FORGET_MS + 1.0
     steps.end("b")
-    assert steps.look("a") is Treatment.FREE
+    assert steps.treatment_of("a") is Treatment.FREE
 
 
 def test_a_workspace_evicts_only_its_own_entries() -> None:
@@ -319,7 +320,7 @@
     steps.quarantine.add(QuarantinedRequest("kept", "small", 0), steps.now_ms)
     for number in range(10_000):
         steps.quarantine.add(QuarantinedRequest(f"f{number}", "flood", 0), steps.now_ms)
-    assert steps.look("kept", "small") is Treatment.QUARANTINED
+    assert steps.treatment_of("kept", "small") is Treatment.QUARANTINED
     assert len(steps.quarantine.entries(steps.now_ms)) == 1 + MOST_QUARANTINED_OF_ONE
     assert len(steps.quarantine.evicted) == 10_000 - MOST_QUARANTINED_OF_ONE
     requests = [InterruptedRequest(f"s{number}", "flood", True) for number in range(10_000)]
--- a/tests/test_termination_detector.py
+++ b/tests/test_termination_detector.py
@@ -160,7 +160,7 @@
 
     async def run() -> None:
         async with (
-            CrashingPool(3, FATAL, back_s=60.0) as pool,
+            CrashingPool(3, FATAL, replacement_s=60.0) as pool,
             Fleet({"pool": pool.engines}) as fleet,
         ):
             pool.serve(fleet)
