--- a/packages/core/src/tamarack_core/engine_model.py
+++ b/packages/core/src/tamarack_core/engine_model.py
@@ -56,10 +56,10 @@
 requests use the rest."""
 
 
-def prefill_ms_of(prompt: Prompt, unread: int) -> float:
-    """Time in milliseconds to prefill the last `unread` tokens of a prompt, at speed factor one."""
-    pairs = unread * (prompt.tokens_in - unread / 2)
-    return unread / PROMPT_TOKENS_PER_MS + pairs / 1e6 * PAIR_MS_PER_MILLION
+def prefill_ms_of(prompt: Prompt, uncached: int) -> float:
+    """Milliseconds to prefill the last `uncached` tokens of a prompt, at speed factor one."""
+    pairs = uncached * (prompt.tokens_in - uncached / 2)
+    return uncached / PROMPT_TOKENS_PER_MS + pairs / 1e6 * PAIR_MS_PER_MILLION
 
 
 class _Sent:
--- a/packages/core/src/tamarack_core/placement.py
+++ b/packages/core/src/tamarack_core/placement.py
@@ -75,18 +75,18 @@
     for endpoint in caching:
         model = models[endpoint.name]
         pace = model.pace(now_ms)
-        unread = model.unread_tokens(prompt)
+        uncached = model.unread_tokens(prompt)
         assumed = prompt.anchor.tokens if prompt.anchor and endpoint is preferred else 0
         reading_ms = model.reading_ms(prompt, assumed) * pace
         first_token_ms = model.wait_ms(now_ms) + reading_ms + model.first_token_ms
         first_token_ms += _full_ms(endpoint, model)
         cost = first_token_ms + (PREFILL_WEIGHT - 1.0) * reading_ms
         cost += FAILURE_PENALTY_MS * records[endpoint.name].failures(now_ms)
-        if endpoint is not preferred and unread >= prompt.tokens_in:
+        if endpoint is not preferred and uncached >= prompt.tokens_in:
             cost += NOT_PREFERRED_PENALTY_MS
         if cost < lowest_cost:
             lowest_cost = cost
-            cheapest = Choice(endpoint, first_token_ms, unread)
+            cheapest = Choice(endpoint, first_token_ms, uncached)
     # All other engines prefill the whole prompt. One whose queue and prefill alone cost as much as
     # the cheapest so far is skipped, which with 156 engines saves nearly all of the work.
     whole_ms = prefill_ms_of(prompt, prompt.tokens_in)
--- a/packages/core/src/tamarack_core/quarantine.py
+++ b/packages/core/src/tamarack_core/quarantine.py
@@ -100,7 +100,7 @@
     Parameters
     ----------
     tries
-        Whether this router is the one that retries a given quarantined request, by fingerprint.
+        Whether this router runs the trials of a quarantined request, by fingerprint.
 
     Attributes
     ----------
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -119,8 +119,8 @@
 
 def test_a_first_request_is_charged_like_others_whatever_its_hint_allows() -> None:
     # The second request of a small workspace must not wait for two seconds during a flood. Its
-    # first requests allow 1,000 tokens and need 30, others need 60. The full allowance was charged
-    # until the first request was settled.
+    # first requests have a hint of 1,000 tokens and need 30, others need 60. The full hint was
+    # charged until the first request was settled.
     estimator = Estimator(200.0)
     for _ in range(300):
         estimator.learn("busy", 60.0)
