--- a/packages/core/src/tamarack_core/loop_lag.py
+++ b/packages/core/src/tamarack_core/loop_lag.py
@@ -47,7 +47,7 @@
     ----------
     lag_ms
         Recent peak of the lag, which decays.
-    most_ms
+    max_ms
         Highest lag since the start.
     overloads
         Number of overloads.
