--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -149,7 +149,7 @@
     steps = Steps()
     assert steps.crash("a", "b") == []
     assert steps.crash("a", "c") == []
-    assert steps.treatment_of("a") is Treatment.APART
+    assert steps.treatment_of("a") is Treatment.ISOLATED
     assert steps.treatment_of("b") is Treatment.FREE
     assert steps.crash("a", "d") == ["a"]
     assert steps.treatment_of("a") is Treatment.QUARANTINED
@@ -162,7 +162,7 @@
     steps.crash("a", "b")
     assert steps.crash("a", "b") == []
     assert steps.crash("a") == ["a"]
-    assert steps.treatment_of("b") is Treatment.APART
+    assert steps.treatment_of("b") is Treatment.ISOLATED
     assert steps.quarantine.answered("b")
     assert steps.treatment_of("b") is Treatment.FREE
 
@@ -188,7 +188,7 @@
     )
     assert steps.treatment_of("a") is Treatment.WAIT
     assert steps.quarantine.answered("a")
-    assert steps.quarantine.decide_due(steps.now_ms + SETTLE_MS) == []
+    assert steps.quarantine.decide_due(steps.now_ms + DECISION_DELAY_MS) == []
     assert steps.treatment_of("a") is Treatment.FREE
     assert not steps.quarantine.watching
 
@@ -238,7 +238,7 @@
     steps.quarantine.begun("a", key)
     assert steps.treatment_of("a") is Treatment.WAIT
     steps.quarantine.finished("a", key)
-    assert steps.treatment_of("a") is Treatment.APART
+    assert steps.treatment_of("a") is Treatment.ISOLATED
 
 
 def test_suspects_run_at_different_endpoints() -> None:
@@ -290,7 +290,7 @@
     steps = Steps()
     for number in range(MANY_QUARANTINED):
         steps.quarantine.add(QuarantinedRequest(f"f{number}", "shop", 0), steps.now_ms)
-    assert steps.treatment_of("new") is Treatment.APART
+    assert steps.treatment_of("new") is Treatment.ISOLATED
     assert steps.treatment_of("new", "another") is Treatment.FREE
     assert steps.crash("new") == ["new"]
 
