--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import re
 from pathlib import Path
 from typing import Any
 
@@ -31,3 +32,41 @@
     docs = ROOT / "docs"
     assert (docs / "CAPACITY.md").read_text() == capacity.page(capacity.read_lines())
     assert (docs / "MEASUREMENTS.md").read_text() == measurements.page()
+
+
+PAGES = [ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").rglob("*.md"))]
+CODE_PAGES = ("ARCHITECTURE.md", "house-style.md", "seeds.md", "design", "incidents")
+SOURCES = ("packages", "platform", "tests", "bench", "deploy")
+
+
+def source_words() -> set[str]:
+    """Words of the sources, and the names of their files and folders."""
+    paths = [path for folder in SOURCES for path in (ROOT / folder).rglob("*")]
+    texts = [path.read_text() for path in paths if path.suffix in (".py", ".toml", ".sed", ".sh")]
+    return {path.stem for path in paths} | set(re.findall(r"\w+", "\n".join(texts)))
+
+
+def test_links_of_the_pages_lead_to_files() -> None:
+    links = {
+        (page, link)
+        for page in PAGES
+        for link in re.findall(r"\]\(([^)#\s]+)", page.read_text())
+        if "://" not in link
+    }
+    assert [link for page, link in sorted(links) if not (page.parent / link).exists()] == []
+
+
+def test_names_of_code_on_the_pages_exist() -> None:
+    """A page that names a module, constant or test after its rename leads its reader nowhere."""
+    words = source_words()
+    lost = []
+    for page in PAGES:
+        text = page.read_text()
+        names = re.findall(r"\btest_\w+", text)
+        if page.relative_to(ROOT / "docs" if "docs" in page.parts else ROOT).parts[0] in CODE_PAGES:
+            quoted = " ".join(re.findall(r"`([^`\n]+)`", text))
+            names += re.findall(r"\b[A-Za-z]\w*_\w+\b|\b[A-Z]+[a-z]+[A-Z]\w+\b", quoted)
+        if page.name == "ARCHITECTURE.md":
+            names += re.findall(r"`(\w+)`", text)
+        lost += [f"{page.name}: {name}" for name in names if name not in words]
+    assert lost == []
