--- a/packages/bench/src/tamarack_bench/quarantine_scenarios.py
+++ b/packages/bench/src/tamarack_bench/quarantine_scenarios.py
@@ -7,7 +7,7 @@
 from tamarack_bench.quarantine_model import ModelOptions, ModelResult, QuarantineModel
 from tamarack_bench.scenarios import Options, Reading, scenario
 from tamarack_core.fingerprint import fingerprint
-from tamarack_core.quarantine import SETTLE_MS, Quarantine
+from tamarack_core.quarantine import DECISION_DELAY_MS, Quarantine
 from tamarack_core.termination_evidence import InterruptedRequest, Termination
 
 SEEDS = 5
@@ -18,7 +18,9 @@
 SUSPECTS = (0, 10, 10_000)
 
 
-@scenario("quarantine-model", "endpoints ended, and innocent requests quarantined, in a model")
+@scenario(
+    "quarantine-model", "crashed endpoints and unrelated requests quarantined, in a simulation"
+)
 def quarantine_model(options: Options) -> Reading:
     """Simulate two culprits with and without the quarantine, five culprits, and mass failures."""
     unprotected = _simulate(options, ModelOptions(), watching=False)
@@ -40,7 +42,7 @@
     return Reading("quarantine-model", figures)
 
 
-@scenario("quarantine-cost", "microseconds that a request costs, by suspects")
+@scenario("quarantine-cost", "microseconds per request, by number of suspects")
 def quarantine_cost(options: Options) -> Reading:
     """Measure with no, few and as many suspects as the table holds; the best of three runs each."""
     costs = {count: min(_check_us(count) for _ in range(3)) for count in SUSPECTS}
@@ -64,9 +66,11 @@
     for number in range(suspects):
         # Spread over workspaces, as the table bounds the suspects of each.
         aboard = [InterruptedRequest(f"f{number}", f"w{number % 100}", True)]
-        quarantine.ended(Termination(f"e{number}", number, False, aboard), number * SETTLE_MS)
-        quarantine.decide_due((number + 1) * SETTLE_MS)
-    now_ms = suspects * SETTLE_MS
+        quarantine.ended(
+            Termination(f"e{number}", number, False, aboard), number * DECISION_DELAY_MS
+        )
+        quarantine.decide_due((number + 1) * DECISION_DELAY_MS)
+    now_ms = suspects * DECISION_DELAY_MS
     started = time.perf_counter()
     for number in range(CHECKS):
         if quarantine.watching:
--- a/packages/gateway/src/tamarack_gateway/gateway.py
+++ b/packages/gateway/src/tamarack_gateway/gateway.py
@@ -8,7 +8,7 @@
 
 from tamarack_core.clock import Clock
 from tamarack_core.leaving import plan_leaving
-from tamarack_core.quarantine_records import USUAL_BOUNDS, QuarantineBounds
+from tamarack_core.quarantine_records import DEFAULT_BOUNDS, QuarantineBounds
 from tamarack_core.relay_plan import Peer
 from tamarack_gateway.cache_inventory import CacheInventory
 from tamarack_gateway.caller_connection import CallerConnection
@@ -16,7 +16,6 @@
 from tamarack_gateway.connection_limiter import ConnectionLimiter
 from tamarack_gateway.connection_pool import ConnectionPool
 from tamarack_gateway.decision_log import DecisionLog
-from tamarack_gateway.end_witness import TerminationDetector
 from tamarack_gateway.fleet_feeds import FleetFeeds
 from tamarack_gateway.fleet_members import FleetMembers, Member
 from tamarack_gateway.fleet_state import FleetState
@@ -30,6 +29,7 @@
 from tamarack_gateway.router_pages import RouterPages
 from tamarack_gateway.site import Site
 from tamarack_gateway.table_follower import CopyWanted, TableNews
+from tamarack_gateway.termination_detector import TerminationDetector
 
 READERS_SETTLE_MS = 1_000.0
 """Time after its start in which a router of a large fleet, having read the store once, does not act
@@ -56,7 +56,7 @@
         log: DecisionLog,
         *,
         seed: int,
-        quarantine: QuarantineBounds = USUAL_BOUNDS,
+        quarantine: QuarantineBounds = DEFAULT_BOUNDS,
     ) -> None:
         self._site = site
         self._clock = clock
@@ -179,7 +179,7 @@
             self._log.event("new settings cannot be used", reason=str(error))
             return
         self._state.settings = self._settings
-        self._log.event("settings were read anew", store=self._settings.store)
+        self._log.event("settings reloaded", store=self._settings.store)
 
     async def leave(self) -> None:
         """Shut down gracefully: divert callers first, then finish requests in progress."""
@@ -240,7 +240,7 @@
             others=lambda: self._members.heard_within(5_000.0, self._clock.now_ms),
             on_report=self._on_report,
             on_placements=self._state.apply_placements,
-            on_alive=lambda stamps: self._members.alive(stamps, self._clock.now_ms),
+            on_alive=lambda stamps: self._members.record_unchanged(stamps, self._clock.now_ms),
         )
 
     def _make_feeds(self) -> FleetFeeds:
@@ -249,7 +249,7 @@
             self._state,
             follow=self._follow,
             reads=self._reads,
-            publish=self._publish_news,
+            publish=self._publish_changes,
             wanted=self._peers.publish_copy_request,
             on_quarantine_change=self._quarantine.apply_change,
         )
@@ -290,7 +290,7 @@
             return False
         return self._members.reads(table, self._me, now_ms)
 
-    def _publish_news(self, news: TableNews) -> None:
+    def _publish_changes(self, news: TableNews) -> None:
         if self._members.heard_within(5_000.0, self._clock.now_ms):
             if news.table == self._site.tables.configuration:
                 news = news._replace(stamps=self._members.stamps())
@@ -299,7 +299,7 @@
     def _on_report(self, report: Report) -> None:
         if report.summary is not None:
             self._on_summary(report.summary, report.stamp_ms)
-        self._members.stamped(report.router, report.stamp_ms)
+        self._members.record_stamp(report.router, report.stamp_ms)
         if report.placements is not None:
             self._state.apply_placements(report.placements)
         if report.news is not None:
@@ -314,7 +314,7 @@
         if self._members.sends_copy(f"{wanted.table}/{wanted.tries}", self._me, self._clock.now_ms):
             news = self._feeds.copy(wanted)
             if news is not None:
-                self._publish_news(news)
+                self._publish_changes(news)
 
     def _on_summary(self, summary: Summary, stamp_ms: float) -> None:
         now_ms = self._clock.now_ms
--- a/packages/gateway/src/tamarack_gateway/request_quarantine.py
+++ b/packages/gateway/src/tamarack_gateway/request_quarantine.py
@@ -9,11 +9,11 @@
 from tamarack_core.fingerprint import fingerprint
 from tamarack_core.quarantine import FREE, Handling, Treatment
 from tamarack_core.termination_evidence import InterruptedRequest
-from tamarack_gateway.end_witness import TerminationDetector
 from tamarack_gateway.fleet_state import FleetState
 from tamarack_gateway.http_messages import Request
 from tamarack_gateway.quarantine_feed import QuarantineFeed
 from tamarack_gateway.site import RequestFacts
+from tamarack_gateway.termination_detector import TerminationDetector
 
 EARLY_MS = 500.0
 """A request whose first event is younger than this counts as having just begun to run. Requests
@@ -72,7 +72,7 @@
 
     def allowed_endpoints(self, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
         """Those of `endpoints` that the request may be sent to; a suspect is confined to one."""
-        if self._handling.treatment not in (Treatment.APART, Treatment.TRIAL) or not endpoints:
+        if self._handling.treatment not in (Treatment.ISOLATED, Treatment.TRIAL) or not endpoints:
             return endpoints
         key = self._quarantine.choose_endpoint(
             self.fingerprint, [endpoint.key for endpoint in endpoints]
@@ -81,7 +81,7 @@
 
     def sent(self, endpoint: Endpoint) -> None:
         """Record that the request is sent to an endpoint."""
-        if self._handling.treatment in (Treatment.APART, Treatment.TRIAL):
+        if self._handling.treatment in (Treatment.ISOLATED, Treatment.TRIAL):
             self._isolated_at = endpoint.key
             self._quarantine.begun(self.fingerprint, endpoint.key)
         self._handling = FREE
--- a/tests/test_table_follower.py
+++ b/tests/test_table_follower.py
@@ -16,7 +16,7 @@
 from tamarack_gateway.store_client import StoreError
 from tamarack_gateway.table_follower import (
     CopyWanted,
-    RowNews,
+    PublishedRow,
     TableChange,
     TableFollower,
     TableNews,
@@ -44,28 +44,30 @@
         )
         self.follower._version = 10
 
-    def deliver(self, after: int, version: int, rows: list[RowNews] | None, **more: float) -> None:
+    def deliver(
+        self, after: int, version: int, rows: list[PublishedRow] | None, **more: float
+    ) -> None:
         news = TableNews("op", after, version, more.get("age_ms", 0.0), rows, {})
         self.follower.receive(news, more.get("stamp_ms", self.clock.now_ms))
 
 
 def test_overlapping_messages_are_applied_once() -> None:
     listener = Listener()
-    listener.deliver(10, 12, [RowNews("a", b"1", 12)])
-    listener.deliver(10, 12, [RowNews("a", b"1", 12)])
-    listener.deliver(11, 14, [RowNews("a", b"1", 12), RowNews("b", None, 14)])
+    listener.deliver(10, 12, [PublishedRow("a", b"1", 12)])
+    listener.deliver(10, 12, [PublishedRow("a", b"1", 12)])
+    listener.deliver(11, 14, [PublishedRow("a", b"1", 12), PublishedRow("b", None, 14)])
     assert [[row.key for row in change.rows] for change in listener.changes] == [["a"], [], ["b"]]
     assert listener.follower.version == 14
 
 
 def test_the_store_is_called_after_a_lost_message() -> None:
-    """A router missed a change permanently.
+    """Failure: a router misses a change permanently.
 
-    A message of a reader is lost, and the next one starts after it, but was applied as if there
-    were no gap.
+    A message of a reader is lost, and the next one starts after it. It must not be applied as if
+    there were no gap.
     """
     listener = Listener()
-    listener.deliver(12, 14, [RowNews("b", b"2", 14)])
+    listener.deliver(12, 14, [PublishedRow("b", b"2", 14)])
     assert listener.changes == []
     assert not listener.follower._listening()
 
@@ -78,24 +80,24 @@
 
 
 def test_a_configuration_of_the_largest_size_is_published() -> None:
-    """Each configuration change caused a call to the store by every router.
+    """Failure: each configuration change causes a call to the store by every router.
 
-    Readers published that a configuration with many routes had changed, but not the row, since it
-    was larger than 8 KiB.
+    Readers publish that a configuration with many routes has changed, but not the row if it is
+    larger than the limit, which must not be as low as 8 KiB.
     """
     listener = Listener()
     published: list[TableNews] = []
     listener.follower._on_result = published.append
     row = Row("op", "config", b"x" * 65_536, 12)
     listener.follower._publish(10, 12, [row], 99_000.0)
-    assert published[0].rows == [RowNews("config", row.value, 12)]
+    assert published[0].rows == [PublishedRow("config", row.value, 12)]
 
 
 def test_delayed_messages_do_not_confirm_the_present_state() -> None:
-    """A revoked key was accepted seconds later.
+    """Failure: a revoked key is accepted seconds later.
 
     A reader's messages are delayed between the routers and arrive all at once. Their time of
-    arrival was used as the time at which the store was called.
+    arrival must not be used as the time at which the store was called.
     """
     listener = Listener()
     listener.clock.advance(20_000.0)
@@ -112,10 +114,10 @@
 
 
 def test_a_router_that_has_just_read_a_table_waits_for_messages() -> None:
-    """Routers of a large fleet that started together called the store three times each.
+    """Failure: routers of a large fleet that start together call the store three times each.
 
-    All read the whole table before they know of each other. A router without a message so far
-    continued to call the store, though the table that it had read was as recent.
+    All read the whole table before they know of each other. A router without a message so far must
+    not continue to call the store, as the table that it has read is as recent.
     """
 
     class Pages:
@@ -132,10 +134,10 @@
 
 
 def test_grace_for_expired_rows_starts_with_the_first_answer_of_the_store() -> None:
-    """An endpoint that had left got new work for more than two seconds.
+    """Failure: an endpoint that has left gets new work for more than two seconds.
 
     The store recovers. One task reaches it while another is in a pause between failed calls, and
-    an endpoint leaves meanwhile. The grace period started with the second task's own answer.
+    an endpoint leaves meanwhile. The grace period must not start with the second task's own answer.
     """
     listener = Listener()
     follower = listener.follower
@@ -172,9 +174,9 @@
 
 
 def test_callers_are_not_sent_to_a_router_that_the_store_rejects() -> None:
-    """Callers of one failure domain were refused for seconds, though other routers had capacity.
+    """Failure: callers of one failure domain are refused for seconds while others have capacity.
 
-    The store rejects one router, whose keys expire, but its address stayed in the answers to
+    The store rejects one router, whose keys expire; its address must not stay in the answers to
     callers. If the store is unavailable to all, all addresses are returned.
     """
     members = FleetMembers()
@@ -205,10 +207,10 @@
 
 
 def test_callers_are_spread_if_most_routers_have_no_recent_confirmation() -> None:
-    """One router of 66 got three quarters of all requests, and ran out of file descriptors.
+    """Failure: one router of 66 gets three quarters of all requests and runs out of descriptors.
 
     Confirmations come through other routers and are slightly too old at most of them, while a
-    router that calls the store is always fresh. Callers were sent to fresh routers only.
+    router that calls the store is always fresh. Callers must not be sent to fresh routers only.
     """
     members = FleetMembers()
     everyone = members_of(66)
@@ -226,10 +228,10 @@
 
 
 def test_a_router_that_the_store_rejects_gets_a_large_change_from_the_others() -> None:
-    """A third of the routers refused all callers with keys for seconds, while the others served.
+    """Failure: a third of the routers refuse all callers with keys for seconds; the others serve.
 
     The store rejects just these routers, and a configuration change is too large for the readers'
-    messages. These routers had to read it from the store, and later messages were useless without
+    messages. If these routers have to read it from the store, later messages are useless without
     it: 22 of 66 routers had last confirmed their keys 8.4 s before, though three readers published
     each second.
     """
@@ -257,7 +259,7 @@
 
 def test_one_copy_serves_all_routers_that_request_it() -> None:
     listener = Listener()
-    listener.deliver(10, 12, [RowNews("a", b"1", 12)])
+    listener.deliver(10, 12, [PublishedRow("a", b"1", 12)])
     reader = listener.follower
     reader._reads = lambda: True
     assert reader.copy(12) is None
@@ -273,10 +275,10 @@
 
 
 def test_a_delayed_answer_does_not_undo_newer_messages() -> None:
-    """A draining endpoint got new work again for a while.
+    """Failure: a draining endpoint gets new work again for a while.
 
     While a router waits for the store's answer, another router sends it a newer change. The answer,
-    of an older version, arrives afterwards, and its rows were applied all the same.
+    of an older version, arrives afterwards, and its rows must not be applied.
     """
 
     class Store:
@@ -291,7 +293,7 @@
         listener.follower._client = cast(Any, store)
         step = asyncio.ensure_future(listener.follower._call_store())
         await asyncio.sleep(0)
-        listener.deliver(10, 12, [RowNews("e", b"draining", 12)])
+        listener.deliver(10, 12, [PublishedRow("e", b"draining", 12)])
         store.answer.set_result(RowsPage([Row("op", "e", b"ready", 11)], 11, False))
         await step
         applied = {row.key: row.value for change in listener.changes for row in change.rows}
@@ -302,10 +304,10 @@
 
 
 def test_a_router_whose_history_is_gone_gets_a_copy() -> None:
-    """A router that the store rejects received no more changes.
+    """Failure: a router that the store rejects receives no more changes.
 
-    The store drops its history and then rejects the router. A router without a version neither
-    requested the table from the others nor applied their messages.
+    The store drops its history and then rejects the router. A router without a version must request
+    the table from the others and apply their messages.
     """
 
     async def scenario() -> None:
@@ -315,7 +317,7 @@
         listener.follower._version = None
         await listener.follower._store_failed(StoreError("status 503"))
         assert [want.after for want in wanted] == [0]
-        copy = TableNews("op", 0, 12, 0.0, [RowNews("a", b"1", 12)], {}, whole=True)
+        copy = TableNews("op", 0, 12, 0.0, [PublishedRow("a", b"1", 12)], {}, whole=True)
         listener.follower.receive(copy, listener.clock.now_ms)
         assert listener.follower.version == 12
 
@@ -323,10 +325,10 @@
 
 
 def test_callers_get_the_address_of_a_router_restarted_after_its_clock_was_set_back() -> None:
-    """A ready router got no callers as long as it ran.
+    """Failure: a ready router gets no callers as long as it runs.
 
     Its wall clock is set back, and it restarts. Incarnations are ordered by the wall clock at their
-    start, and the new one was ignored permanently as a former one.
+    start, and the new one must not be ignored permanently as a former one.
     """
 
     def summary(boot: int, heard_ms: float) -> Member:
@@ -344,7 +346,7 @@
 def test_a_missed_change_of_a_leaving_endpoint_is_noticed_while_it_may_get_work(
     drain_ms: float,
 ) -> None:
-    """A listener detects a lost message only with the readers' next one, a full wait later."""
+    """Failure: a listener detects a lost message only with the readers' next one, a wait later."""
 
     async def scenario() -> None:
         workers = {"pool": [PlatformWorker("e1", Script(events=1))]}
